--- a/load/accountbench/main.cpp
+++ b/load/accountbench/main.cpp
@@ -50,7 +50,7 @@
     for (int i = 0; i < accounts; ++i) {
         auto &account = list[static_cast<std::size_t>(i)];
         account.name = AccountName("account-" + std::to_string(i));
-        account.limit = {.unit = UsageUnit::Tokens, .perSecond = Rate, .burst = Rate, .plainRequest = 200};
+        account.limit = {.unit = UsageUnit::Tokens, .perSecond = Rate, .burst = Rate, .defaultTokens = 200};
     }
     for (int i = 0; i < keys; ++i) {
         list[static_cast<std::size_t>(i % accounts)].keys.push_back(digestOf(keyName(i)));
@@ -100,7 +100,7 @@
             for (int gateway = 0; gateway < gateways; ++gateway) {
                 UsageReport report {"gateway-" + std::to_string(gateway), EntryId("start"), true, {}};
                 for (const auto &account : traffic->accounts.accounts()) {
-                    report.accounts.push_back({shortAccountName(account.name), round * RequestTokens, 0});
+                    report.accounts.push_back({accountHash(account.name), round * RequestTokens, 0});
                 }
                 access.usage().merge(report, at(30 + round));
             }
--- a/src/agent/claimtask.cpp
+++ b/src/agent/claimtask.cpp
@@ -113,7 +113,7 @@
     const auto id = settings.claimant + "-" + std::to_string(++writes);
     VLOG(1) << "claims: writing batch=" << action.batch << " rows=" << action.ops.size();
     table.transact(id, action.ops, [this, batch = action.batch](const TransactResult &result) {
-        if (result.end == TransactEnd::Lost) {
+        if (result.outcome == TransactOutcome::Lost) {
             LOG(WARNING) << "claims: answer of a write was lost batch=" << batch;
         }
         perform(runOnce.transactDone(batch, result, loop.now()));
@@ -157,7 +157,7 @@
         return;
     }
     table.transact(settings.claimant + "-cleanup-" + std::to_string(++writes), ops, [count = ops.size()](const TransactResult &result) {
-        LOG(INFO) << "claims: cleaned up rows=" << count << " committed=" << (result.end == TransactEnd::Committed);
+        LOG(INFO) << "claims: cleaned up rows=" << count << " committed=" << (result.outcome == TransactOutcome::Committed);
     });
 }
 
--- a/src/core/accountaccess.cpp
+++ b/src/core/accountaccess.cpp
@@ -32,13 +32,13 @@
 
 auto AccountAccess::proofAge(TimePoint now) const -> std::optional<Duration>
 {
-    const auto provenAt = m_freshness.provenAt(m_known);
+    const auto provenAt = m_freshness.provenAt(m_knownVersion);
     return provenAt ? std::optional(now - *provenAt) : std::nullopt;
 }
 
 auto AccountAccess::knownVersion() const -> RowVersion
 {
-    return m_known;
+    return m_knownVersion;
 }
 
 auto AccountAccess::isProven(TimePoint now) const -> bool
@@ -47,10 +47,10 @@
     return m_options.proofLifetime == Duration() || (age && *age <= m_options.proofLifetime);
 }
 
-auto AccountAccess::isCertain(TimePoint now) const -> bool
+auto AccountAccess::isProofRecent(TimePoint now) const -> bool
 {
     const auto age = proofAge(now);
-    return age && *age <= m_options.certainWithin;
+    return age && *age <= m_options.recentProofAge;
 }
 
 auto AccountAccess::confirm(const AccountGrant &grant, TimePoint now) const -> AccessRefusal
@@ -75,7 +75,7 @@
 
 auto AccountAccess::rowReceived(RowVersion version) -> void
 {
-    m_known = std::max(m_known, version);
+    m_knownVersion = std::max(m_knownVersion, version);
 }
 
 auto AccountAccess::addProof(const FreshnessProof &proof) -> void
@@ -99,7 +99,7 @@
     decision.key = digestOf(*key);
     const auto *account = m_traffic ? m_traffic->accounts.find(*decision.key) : nullptr;
     if (account == nullptr) {
-        decision.refusal = isCertain(now) ? AccessRefusal::KeyUnknown : AccessRefusal::DeclarationsUnproven;
+        decision.refusal = isProofRecent(now) ? AccessRefusal::KeyUnknown : AccessRefusal::DeclarationsUnproven;
         return decision;
     }
     decision.account = account->name;
@@ -119,9 +119,9 @@
     return decision;
 }
 
-auto AccountAccess::giveBack(const AccountGrant &grant, TimePoint now) -> void
+auto AccountAccess::refund(const AccountGrant &grant, TimePoint now) -> void
 {
-    m_usage.giveBack(grant.account, grant.cost, now);
+    m_usage.refund(grant.account, grant.cost, now);
 }
 
 auto AccountAccess::usage() -> SharedUsage &
--- a/src/core/accountaccess.h
+++ b/src/core/accountaccess.h
@@ -24,7 +24,7 @@
     /// How old the proof may be that the declarations are the newest; 0: none is needed.
     Duration proofLifetime;
     /// With a proof no older, a key that isn't declared is unknown. Else it may have been added meanwhile.
-    Duration certainWithin = Duration::seconds(2);
+    Duration recentProofAge = Duration::seconds(2);
 };
 
 // [SECTION] Decisions
@@ -78,17 +78,17 @@
     auto addProof(const FreshnessProof &proof) -> void;
     /// Charges the account if the request is admitted. `authorization`: the header's value, if there is one; `tokens`: 0: the request doesn't say.
     auto decide(const std::optional<std::string> &authorization, std::int64_t tokens, TimePoint now) -> AccessDecision;
-    auto giveBack(const AccountGrant &grant, TimePoint now) -> void; ///< the request certainly didn't run
+    auto refund(const AccountGrant &grant, TimePoint now) -> void; ///< the request certainly didn't run
     auto usage() -> SharedUsage &;
 
 private:
     auto isProven(TimePoint now) const -> bool;
-    auto isCertain(TimePoint now) const -> bool;
+    auto isProofRecent(TimePoint now) const -> bool;
 
     AccessOptions m_options;
     std::shared_ptr<const Traffic> m_traffic;
     Freshness m_freshness;
-    RowVersion m_known;
+    RowVersion m_knownVersion;
     SharedUsage m_usage;
 };
 
--- a/src/core/accounts.cpp
+++ b/src/core/accounts.cpp
@@ -78,7 +78,7 @@
     if (unit == UsageUnit::Requests) {
         return 1;
     }
-    return tokens > 0 ? static_cast<double>(tokens) : plainRequest;
+    return tokens > 0 ? static_cast<double>(tokens) : defaultTokens;
 }
 
 // [SECTION] AccountTable
--- a/src/core/accounts.h
+++ b/src/core/accounts.h
@@ -52,7 +52,7 @@
     UsageUnit unit = UsageUnit::Requests;
     double perSecond = 0; ///< 0: not limited
     double burst = 0; ///< beyond the rate
-    double plainRequest = 1; ///< counted for a request that doesn't say how many tokens it uses
+    double defaultTokens = 1; ///< counted for a request that doesn't say how many tokens it uses
 
     auto isLimited() const -> bool
     {
--- a/src/core/backoff.cpp
+++ b/src/core/backoff.cpp
@@ -7,7 +7,7 @@
 
 Backoff::Backoff(BackoffOptions options)
     : m_options(options)
-    , m_current(options.first)
+    , m_current(options.initial)
 {
 }
 
@@ -21,13 +21,13 @@
     constexpr double LeastShare = 0.5;
     std::uniform_real_distribution<double> jitter(LeastShare, 1.0);
     const Duration delay = m_current * jitter(random);
-    m_current = std::min(m_current * m_options.factor, m_options.most);
+    m_current = std::min(m_current * m_options.factor, m_options.max);
     return delay;
 }
 
 auto Backoff::reset() -> void
 {
-    m_current = m_options.first;
+    m_current = m_options.initial;
 }
 
 } // namespace KingCup
--- a/src/core/backoff.h
+++ b/src/core/backoff.h
@@ -10,8 +10,8 @@
 {
 
 struct BackoffOptions {
-    Duration first = Duration::millis(100);
-    Duration most = Duration::seconds(3);
+    Duration initial = Duration::millis(100);
+    Duration max = Duration::seconds(3);
     double factor = 2.0;
 };
 
--- a/src/core/breaker.h
+++ b/src/core/breaker.h
@@ -12,7 +12,7 @@
 
 struct BreakerOptions {
     int failuresToOpen = 5; ///< in a row
-    BackoffOptions pause {.first = Duration::millis(250), .most = Duration::seconds(5)}; ///< how long it stays open
+    BackoffOptions pause {.initial = Duration::millis(250), .max = Duration::seconds(5)}; ///< how long it stays open
 };
 
 enum class BreakerState {
--- a/src/core/commitqueue.cpp
+++ b/src/core/commitqueue.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr double BurstSeconds = 0.2; ///< of the rate, that may go out at once
-constexpr double Backoff = 0.5; ///< of the rate, when throttled
-constexpr auto BackoffPeriod = Duration::millis(500); ///< answers of one burst count as one throttling
+constexpr double MaxBurstSeconds = 0.2; ///< of the rate, that may go out at once
+constexpr double ThrottledRateFactor = 0.5; ///< of the rate, when throttled
+constexpr auto ThrottlePeriod = Duration::millis(500); ///< answers of one burst count as one throttling
 constexpr double GrowthPerWrite = 0.05; ///< writes a second gained by each row committed
 constexpr double Smoothing = 0.2; ///< weight of the newest transaction time
 
@@ -24,7 +24,7 @@
     return keys;
 }
 
-auto names(const TransactResult &result, const std::string &key) -> bool
+auto hasConflict(const TransactResult &result, const std::string &key) -> bool
 {
     return std::any_of(result.conflicts.begin(), result.conflicts.end(), [&](const auto &conflict) { return conflict.first == key; });
 }
@@ -34,13 +34,13 @@
 CommitQueue::CommitQueue(CommitSettings settings)
     : m_settings(settings)
     , m_rate(settings.writesPerSecond)
-    , m_tokens(std::max(1.0, settings.writesPerSecond * BurstSeconds))
+    , m_tokens(std::max(1.0, settings.writesPerSecond * MaxBurstSeconds))
 {
 }
 
 auto CommitQueue::size() const -> std::size_t
 {
-    return m_waiting.size();
+    return m_pending.size();
 }
 
 auto CommitQueue::writesPerSecond() const -> double
@@ -51,10 +51,10 @@
 auto CommitQueue::window() const -> Duration
 {
     const auto share = m_transactTime * (1.0 / static_cast<double>(m_settings.batchesInFlight));
-    return std::clamp(share, m_settings.shortestWindow, m_settings.longestWindow);
+    return std::clamp(share, m_settings.minWindow, m_settings.maxWindow);
 }
 
-auto CommitQueue::tokensAt(double tokens) const -> TimePoint
+auto CommitQueue::timeWithTokens(double tokens) const -> TimePoint
 {
     if (m_tokens >= tokens) {
         return m_refilledAt;
@@ -65,20 +65,20 @@
 
 auto CommitQueue::dueAt() const -> std::optional<TimePoint>
 {
-    if (m_waiting.empty() || m_sent.size() >= m_settings.batchesInFlight) {
+    if (m_pending.empty() || m_inFlight.size() >= m_settings.batchesInFlight) {
         return std::nullopt;
     }
     std::optional<TimePoint> earliest;
-    const auto looked = static_cast<std::ptrdiff_t>(std::min(m_waiting.size(), MaxTransactionOps));
-    for (auto next = m_waiting.begin(); next != m_waiting.begin() + looked; ++next) {
+    const auto examined = static_cast<std::ptrdiff_t>(std::min(m_pending.size(), MaxTransactionOps));
+    for (auto next = m_pending.begin(); next != m_pending.begin() + examined; ++next) {
         const auto &write = *next;
-        const auto gathered = m_sent.empty() ? write.since : write.since + window();
+        const auto gathered = m_inFlight.empty() ? write.since : write.since + window();
         const auto due = std::max(gathered, write.notBefore);
         earliest = earliest ? std::min(*earliest, due) : due;
     }
     // Out of budget, one row would go out whenever a token comes: wait for as many as the longest window brings.
-    const double gathered = std::min(static_cast<double>(m_waiting.size()), m_rate * m_settings.longestWindow.inSeconds());
-    return std::max(*earliest, tokensAt(std::max(1.0, gathered)));
+    const double gathered = std::min(static_cast<double>(m_pending.size()), m_rate * m_settings.maxWindow.inSeconds());
+    return std::max(*earliest, timeWithTokens(std::max(1.0, gathered)));
 }
 
 auto CommitQueue::nextWake() const -> std::optional<TimePoint>
@@ -88,27 +88,27 @@
 
 auto CommitQueue::add(TableOp op, CommitUrgency urgency, TimePoint now) -> void
 {
-    putBack({std::move(op), urgency, now, now}, now);
+    enqueue({std::move(op), urgency, now, now}, now);
 }
 
 // First before Later: a claim that a caller waits for goes before the record of an answer that is with its caller already.
-auto CommitQueue::putBack(Waiting write, TimePoint notBefore) -> void
+auto CommitQueue::enqueue(PendingWrite write, TimePoint notBefore) -> void
 {
     write.notBefore = notBefore;
-    const auto place = std::upper_bound(m_waiting.begin(), m_waiting.end(), write, [](const Waiting &one, const Waiting &other) {
+    const auto place = std::upper_bound(m_pending.begin(), m_pending.end(), write, [](const PendingWrite &one, const PendingWrite &other) {
         return one.urgency < other.urgency || (one.urgency == other.urgency && one.since < other.since);
     });
-    m_waiting.insert(place, std::move(write));
+    m_pending.insert(place, std::move(write));
 }
 
 auto CommitQueue::remove(const std::string &key) -> void
 {
-    std::erase_if(m_waiting, [&](const Waiting &write) { return write.op.key == key; });
+    std::erase_if(m_pending, [&](const PendingWrite &write) { return write.op.key == key; });
 }
 
 auto CommitQueue::refill(TimePoint now) -> void
 {
-    const double most = std::max(1.0, m_rate * BurstSeconds);
+    const double most = std::max(1.0, m_rate * MaxBurstSeconds);
     m_tokens = std::min(most, m_tokens + m_rate * (now - m_refilledAt).inSeconds());
     m_refilledAt = now;
 }
@@ -121,11 +121,11 @@
         return std::nullopt;
     }
     Batch batch {BatchId(++m_batches), {}};
-    Sent sent {{}, now};
-    std::vector<Waiting> rest;
-    for (auto looked = std::min(m_waiting.size(), MaxTransactionOps); looked > 0; --looked) {
-        auto write = std::move(m_waiting.front());
-        m_waiting.pop_front();
+    SentBatch sent {{}, now};
+    std::vector<PendingWrite> rest;
+    for (auto examined = std::min(m_pending.size(), MaxTransactionOps); examined > 0; --examined) {
+        auto write = std::move(m_pending.front());
+        m_pending.pop_front();
         const bool fits = m_tokens >= 1 && write.notBefore <= now;
         if (!fits) {
             rest.push_back(std::move(write));
@@ -135,70 +135,70 @@
         batch.ops.push_back(write.op);
         sent.writes.push_back(std::move(write));
     }
-    m_waiting.insert(m_waiting.begin(), std::make_move_iterator(rest.begin()), std::make_move_iterator(rest.end()));
+    m_pending.insert(m_pending.begin(), std::make_move_iterator(rest.begin()), std::make_move_iterator(rest.end()));
     if (batch.ops.empty()) {
         return std::nullopt;
     }
-    m_sent[batch.id] = std::move(sent);
+    m_inFlight[batch.id] = std::move(sent);
     return batch;
 }
 
-auto CommitQueue::adapt(const TransactResult &result, const Sent &sent, TimePoint now) -> void
+auto CommitQueue::adapt(const TransactResult &result, const SentBatch &sent, TimePoint now) -> void
 {
-    if (result.end == TransactEnd::Committed) {
-        m_rate = std::min(m_settings.mostWritesPerSecond, m_rate + GrowthPerWrite * static_cast<double>(sent.writes.size()));
+    if (result.outcome == TransactOutcome::Committed) {
+        m_rate = std::min(m_settings.maxWritesPerSecond, m_rate + GrowthPerWrite * static_cast<double>(sent.writes.size()));
         m_transactTime = m_transactTime * (1 - Smoothing) + (now - sent.at) * Smoothing;
     }
-    const bool again = m_throttledAt && now - *m_throttledAt < BackoffPeriod;
-    if (result.end == TransactEnd::Refused && result.throttled && !again) {
-        m_rate = std::max(m_settings.leastWritesPerSecond, m_rate * Backoff);
+    const bool isSameBurst = m_throttledAt && now - *m_throttledAt < ThrottlePeriod;
+    if (result.outcome == TransactOutcome::Refused && result.throttled && !isSameBurst) {
+        m_rate = std::max(m_settings.minWritesPerSecond, m_rate * ThrottledRateFactor);
         m_throttledAt = now;
     }
 }
 
 // One row's conflict undoes the whole transaction; the other rows go out again without it.
-auto CommitQueue::settleConflict(const Sent &sent, const TransactResult &result, TimePoint now, CommitSettled &settled) -> void
+auto CommitQueue::settleConflict(const SentBatch &sent, const TransactResult &result, TimePoint now, CommitResult &settled) -> void
 {
-    const bool named = std::any_of(sent.writes.begin(), sent.writes.end(), [&](const Waiting &write) { return names(result, write.op.key); });
+    const bool isAnyNamed = std::any_of(sent.writes.begin(), sent.writes.end(), [&](const PendingWrite &write) { return hasConflict(result, write.op.key); });
     for (const auto &write : sent.writes) {
-        if (!named || names(result, write.op.key)) {
+        if (!isAnyNamed || hasConflict(result, write.op.key)) {
             settled.conflicted.push_back(write.op.key);
             continue;
         }
-        settled.untouched.push_back(write.op.key);
-        putBack(write, now);
+        settled.notApplied.push_back(write.op.key);
+        enqueue(write, now);
     }
 }
 
-auto CommitQueue::done(BatchId id, const TransactResult &result, TimePoint now) -> CommitSettled
+auto CommitQueue::done(BatchId id, const TransactResult &result, TimePoint now) -> CommitResult
 {
-    CommitSettled settled;
-    const auto found = m_sent.find(id);
-    if (found == m_sent.end()) {
+    CommitResult settled;
+    const auto found = m_inFlight.find(id);
+    if (found == m_inFlight.end()) {
         return settled;
     }
     const auto sent = std::move(found->second);
-    m_sent.erase(found);
+    m_inFlight.erase(found);
     adapt(result, sent, now);
     std::vector<TableOp> ops;
     for (const auto &write : sent.writes) {
         ops.push_back(write.op);
     }
-    if (result.end == TransactEnd::Committed) {
+    if (result.outcome == TransactOutcome::Committed) {
         settled.committed = keysOf(ops);
         return settled;
     }
-    if (result.end == TransactEnd::Conflict) {
+    if (result.outcome == TransactOutcome::Conflict) {
         settleConflict(sent, result, now, settled);
         return settled;
     }
     for (const auto &write : sent.writes) {
-        putBack(write, now + m_settings.retryDelay);
+        enqueue(write, now + m_settings.retryDelay);
     }
-    if (result.end == TransactEnd::Lost) {
+    if (result.outcome == TransactOutcome::Lost) {
         settled.lost = keysOf(ops);
     } else if (result.throttled) {
-        settled.untouched = keysOf(ops);
+        settled.notApplied = keysOf(ops);
     } else {
         settled.unavailable = keysOf(ops);
     }
--- a/src/core/commitqueue.h
+++ b/src/core/commitqueue.h
@@ -21,11 +21,11 @@
 
 struct CommitSettings {
     double writesPerSecond = 100;
-    double leastWritesPerSecond = 2;
-    double mostWritesPerSecond = 300;
+    double minWritesPerSecond = 2;
+    double maxWritesPerSecond = 300;
     std::size_t batchesInFlight = 4;
-    Duration shortestWindow = Duration::millis(1);
-    Duration longestWindow = Duration::millis(50);
+    Duration minWindow = Duration::millis(1);
+    Duration maxWindow = Duration::millis(50);
     Duration retryDelay = Duration::millis(50); ///< before a refused or lost write goes out again
 };
 
@@ -35,12 +35,12 @@
 };
 
 /// What became of a transaction's rows. Those lost, refused or beside a conflict stay in the queue.
-struct CommitSettled {
+struct CommitResult {
     std::vector<std::string> committed;
     std::vector<std::string> conflicted; ///< left the queue: the row has another version
     std::vector<std::string> lost; ///< may have taken effect
     std::vector<std::string> unavailable; ///< certainly without effect, and the store can't be reached
-    std::vector<std::string> untouched; ///< certainly without effect, to be tried again
+    std::vector<std::string> notApplied; ///< certainly without effect, to be tried again
 };
 
 class CommitQueue
@@ -70,32 +70,32 @@
     auto remove(const std::string &key) -> void;
     /// The next transaction to send, if one is due.
     auto nextBatch(TimePoint now) -> std::optional<Batch>;
-    auto done(BatchId id, const TransactResult &result, TimePoint now) -> CommitSettled;
+    auto done(BatchId id, const TransactResult &result, TimePoint now) -> CommitResult;
 
 private:
-    struct Waiting {
+    struct PendingWrite {
         TableOp op;
-        CommitUrgency urgency = CommitUrgency::First;
+        CommitUrgency urgency = CommitUrgency::Foreground;
         TimePoint since;
         TimePoint notBefore;
     };
-    struct Sent {
-        std::vector<Waiting> writes;
+    struct SentBatch {
+        std::vector<PendingWrite> writes;
         TimePoint at;
     };
 
     auto refill(TimePoint now) -> void;
     auto dueAt() const -> std::optional<TimePoint>;
-    auto tokensAt(double tokens) const -> TimePoint;
-    auto adapt(const TransactResult &result, const Sent &sent, TimePoint now) -> void;
-    auto putBack(Waiting write, TimePoint notBefore) -> void;
-    auto settleConflict(const Sent &sent, const TransactResult &result, TimePoint now, CommitSettled &settled) -> void;
+    auto timeWithTokens(double tokens) const -> TimePoint;
+    auto adapt(const TransactResult &result, const SentBatch &sent, TimePoint now) -> void;
+    auto enqueue(PendingWrite write, TimePoint notBefore) -> void;
+    auto settleConflict(const SentBatch &sent, const TransactResult &result, TimePoint now, CommitResult &settled) -> void;
 
     CommitSettings m_settings;
     /// First before Later, older before newer. Only as many as one transaction holds are looked at, from the front: a queue that has grown
     /// long in an outage must not cost more with every event. What waits behind writes that are to be retried waits that little longer.
-    std::deque<Waiting> m_waiting;
-    std::map<BatchId, Sent> m_sent;
+    std::deque<PendingWrite> m_pending;
+    std::map<BatchId, SentBatch> m_inFlight;
     std::uint64_t m_batches = 0;
     double m_rate;
     double m_tokens;
--- a/src/core/concurrencylimit.h
+++ b/src/core/concurrencylimit.h
@@ -8,10 +8,10 @@
 {
 
 struct ConcurrencyLimitOptions {
-    int least = 4;
-    int most = 64; ///< streams that an engine batches
-    int first = 32; ///< what an engine does at 34 ms a step; a lower start makes placement see runners as full that aren't
-    Duration stepGoal = Duration::millis(34); ///< between tokens; the limit shrinks while the engine is slower
+    int min = 4;
+    int max = 64; ///< streams that an engine batches
+    int initial = 32; ///< what an engine does at 34 ms a step; a lower start makes placement see runners as full that aren't
+    Duration maxStepTime = Duration::millis(34); ///< between tokens; the limit shrinks while the engine is slower
     double tolerance = 2.0; ///< service time may rise to this many times the unloaded one
 };
 
--- a/src/core/configlog.cpp
+++ b/src/core/configlog.cpp
@@ -158,17 +158,17 @@
 
 auto ConfigCommit::writeDone(const TransactResult &result, TimePoint now) -> ConfigStep
 {
-    if (result.end == TransactEnd::Committed) {
+    if (result.outcome == TransactOutcome::Committed) {
         return CommitDecision {CommitOutcome::Accepted, m_proposal.expected.next()};
     }
-    if (result.end == TransactEnd::Conflict) {
+    if (result.outcome == TransactOutcome::Conflict) {
         // The head has moved, and versions are never used again: whatever was sent before has taken effect or never will. Which of the
         // two it is, the next read tells.
         m_resend = false;
         return read();
     }
     // Once an answer was lost, a refusal of the copy says nothing about the first.
-    m_resend = m_resend || result.end == TransactEnd::Lost;
+    m_resend = m_resend || result.outcome == TransactOutcome::Lost;
     m_uncertain = m_uncertain || m_resend;
     return retryLater(now);
 }
--- a/src/core/decisionlog.cpp
+++ b/src/core/decisionlog.cpp
@@ -6,7 +6,7 @@
 {
 
 DecisionLog::DecisionLog(std::size_t most)
-    : m_most(most)
+    : m_capacity(most)
 {
 }
 
@@ -24,7 +24,7 @@
 auto DecisionLog::add(LoggedDecision decision) -> void
 {
     m_decisions.push_back(std::move(decision));
-    if (m_decisions.size() > m_most) {
+    if (m_decisions.size() > m_capacity) {
         m_decisions.pop_front();
     }
 }
--- a/src/core/decisionlog.h
+++ b/src/core/decisionlog.h
@@ -28,7 +28,7 @@
     auto add(LoggedDecision decision) -> void;
 
 private:
-    std::size_t m_most;
+    std::size_t m_capacity;
     std::deque<LoggedDecision> m_decisions;
 };
 
--- a/src/core/declarations.h
+++ b/src/core/declarations.h
@@ -49,7 +49,7 @@
     double share = 1.0; ///< weight in fairness between services
     std::vector<NonIdempotentCall> nonIdempotentCalls; ///< plain services only
     Duration claimRetention = Duration::seconds(86400); ///< how long a run-once record is kept
-    Place place;
+    SourceLocation location;
 };
 
 // [SECTION] Artifacts
@@ -64,7 +64,7 @@
     ServiceName service;
     ArtifactName base; ///< for adapters: the model version it needs resident beside it
     Bytes size; ///< weights
-    Place place;
+    SourceLocation location;
 };
 
 /// A model that callers name; `current` is the version that the bare name stands for.
@@ -73,7 +73,7 @@
     ServiceName service;
     ArtifactName current;
     std::vector<ArtifactName> versions; ///< current first, then others kept resident during a change-over
-    Place place;
+    SourceLocation location;
 };
 
 // [SECTION] Targets
@@ -86,7 +86,7 @@
     ServiceName service; ///< a plain service's instance, or the models service a runner is for
     FencingSupport fencing = FencingSupport::Ignored;
     Duration longestOrderDelay = Duration::seconds(15); ///< after this an order that was sent can't take effect any more
-    Place place;
+    SourceLocation location;
 };
 
 // [SECTION] Policies
@@ -98,7 +98,7 @@
     int parallelLoads = 3; ///< loads at once at full speed
     double kvReserve = 0.15; ///< share of an accelerator's memory kept for the KV cache
     int floorZones = 2; ///< availability zones a floor copy is kept in, where memory allows
-    Place place;
+    SourceLocation location;
 };
 
 // [SECTION] Declarations
--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -222,7 +222,7 @@
     d->targets.erase(target);
 }
 
-auto Dispatcher::targetHolds(const TargetId &target, const std::vector<HeldModel> &models) -> void
+auto Dispatcher::targetHolds(const TargetId &target, const std::vector<ResidentModel> &models) -> void
 {
     const auto found = d->targets.find(target);
     if (found != d->targets.end()) {
@@ -331,7 +331,7 @@
     if (options.isConnected && !options.isConnected(state.description.address)) {
         made.cost += toMillis(options.newConnection);
     }
-    made.cost += toMillis(state.description.slowFor) > 0 ? made.cost : 0; // still slow after its start
+    made.cost += toMillis(state.description.warmupRemaining) > 0 ? made.cost : 0; // still slow after its start
     return made;
 }
 
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -136,7 +136,7 @@
     auto targetSeen(const TargetDescription &target, TimePoint now) -> void;
     auto targetGone(const TargetId &target) -> void;
     /// What a runner holds, where that is known better than from its description.
-    auto targetHolds(const TargetId &target, const std::vector<HeldModel> &models) -> void;
+    auto targetHolds(const TargetId &target, const std::vector<ResidentModel> &models) -> void;
 
     // Commands: what happened
     auto sent(const DispatchRequest &request, const TargetId &target, TimePoint now) -> SendId;
--- a/src/core/finding.cpp
+++ b/src/core/finding.cpp
@@ -5,10 +5,10 @@
 
 auto toString(const Finding &finding) -> std::string
 {
-    if (finding.place.file.empty()) {
+    if (finding.location.file.empty()) {
         return finding.message;
     }
-    return finding.place.file + ":" + std::to_string(finding.place.line) + ": " + finding.message;
+    return finding.location.file + ":" + std::to_string(finding.location.line) + ": " + finding.message;
 }
 
 } // namespace KingCup
--- a/src/core/finding.h
+++ b/src/core/finding.h
@@ -9,16 +9,16 @@
 {
 
 /// Where in the operator's files something stands. line 0 means the file as a whole; an empty file means "no file".
-struct Place {
+struct SourceLocation {
     std::string file; ///< path as the operator gave it
     int line = 0; ///< counted from 1
 
-    auto operator==(const Place &) const -> bool = default;
+    auto operator==(const SourceLocation &) const -> bool = default;
 };
 
 /// One thing that is wrong.
 struct Finding {
-    Place place;
+    SourceLocation location;
     std::string message; ///< one short sentence, naming the key or value
 };
 
--- a/src/core/freshness.cpp
+++ b/src/core/freshness.cpp
@@ -9,7 +9,7 @@
 {
 
 /// Versions that this process hasn't received yet; more than a few are on their way only if it receives nothing.
-constexpr std::size_t MostProofs = 16;
+constexpr std::size_t MaxProofs = 16;
 
 } // namespace
 
@@ -26,16 +26,16 @@
 
 auto Freshness::add(const FreshnessProof &proof) -> void
 {
-    const auto isBetter = [](const FreshnessProof &a, const FreshnessProof &b) {
+    const auto supersedes = [](const FreshnessProof &a, const FreshnessProof &b) {
         return a.version <= b.version && a.asOf >= b.asOf;
     };
-    if (std::any_of(m_proofs.begin(), m_proofs.end(), [&](const FreshnessProof &known) { return isBetter(known, proof); })) {
+    if (std::any_of(m_proofs.begin(), m_proofs.end(), [&](const FreshnessProof &known) { return supersedes(known, proof); })) {
         return;
     }
-    std::erase_if(m_proofs, [&](const FreshnessProof &known) { return isBetter(proof, known); });
+    std::erase_if(m_proofs, [&](const FreshnessProof &known) { return supersedes(proof, known); });
     const auto place = std::find_if(m_proofs.begin(), m_proofs.end(), [&](const FreshnessProof &known) { return known.version > proof.version; });
     m_proofs.insert(place, proof);
-    if (m_proofs.size() > MostProofs) {
+    if (m_proofs.size() > MaxProofs) {
         m_proofs.erase(m_proofs.begin() + 1); // the first is the one that may hold already
     }
 }
--- a/src/core/logselection.cpp
+++ b/src/core/logselection.cpp
@@ -12,7 +12,7 @@
 {
 
 /// Parts whose lines tell what a host believed as a whole: they bear on all of its requests.
-constexpr std::array<std::string_view, 5> HostParts {"config", "store", "lease", "process", "settings"};
+constexpr std::array<std::string_view, 5> HostWideParts {"config", "store", "lease", "process", "settings"};
 
 auto contains(const std::vector<std::string> &list, const std::string &text) -> bool
 {
@@ -27,7 +27,7 @@
 }
 
 /// Nothing: not a line of ours.
-auto readLine(std::string_view line) -> std::optional<ExplainedLine>
+auto parseLine(std::string_view line) -> std::optional<ExplainedLine>
 {
     ExplainedLine read;
     const auto time = logValue(line, "t");
@@ -62,7 +62,7 @@
 }
 
 LogSelection::LogSelection(std::string requestId, LogSelectionOptions options)
-    : m_id(std::move(requestId))
+    : m_requestId(std::move(requestId))
     , m_options(options)
 {
 }
@@ -81,10 +81,10 @@
 
 auto LogSelection::find(std::string_view line) -> void
 {
-    if (m_id.empty() || logValue(line, "id") != m_id) {
+    if (m_requestId.empty() || logValue(line, "id") != m_requestId) {
         return;
     }
-    const auto read = readLine(line);
+    const auto read = parseLine(line);
     if (!read) {
         return;
     }
@@ -101,18 +101,18 @@
         return false; // other requests' lines
     }
     const auto part = logValue(line, "part");
-    const bool isOfHost = contains(m_hosts, read.host) && std::find(HostParts.begin(), HostParts.end(), part) != HostParts.end();
-    return isOfHost || contains(m_targets, logValue(line, "target"));
+    const bool isHostWide = contains(m_hosts, read.host) && std::find(HostWideParts.begin(), HostWideParts.end(), part) != HostWideParts.end();
+    return isHostWide || contains(m_targets, logValue(line, "target"));
 }
 
 auto LogSelection::collect(std::string_view line) -> void
 {
-    auto read = readLine(line);
+    auto read = parseLine(line);
     if (!read || !isFound()) {
         return;
     }
-    read->isAbout = logValue(line, "id") == m_id;
-    if (read->isAbout || isRelated(line, *read)) {
+    read->hasRequestId = logValue(line, "id") == m_requestId;
+    if (read->hasRequestId || isRelated(line, *read)) {
         m_lines.push_back(std::move(*read));
     }
 }
--- a/src/core/logselection.h
+++ b/src/core/logselection.h
@@ -19,7 +19,7 @@
     std::int64_t wallMillis = 0; ///< time of day on its host; hosts' clocks may differ
     std::string host;
     std::string text; ///< without time and host
-    bool isAbout = false; ///< bears the request's id; else of a target or the host
+    bool hasRequestId = false; ///< bears the request's id; else of a target or the host
 };
 
 struct LogSelectionOptions {
@@ -42,7 +42,7 @@
 private:
     auto isRelated(std::string_view line, const ExplainedLine &read) const -> bool;
 
-    std::string m_id;
+    std::string m_requestId;
     LogSelectionOptions m_options;
     std::vector<std::string> m_targets;
     std::vector<std::string> m_hosts;
--- a/src/core/reuselimit.h
+++ b/src/core/reuselimit.h
@@ -13,10 +13,10 @@
 {
 
 struct ReuseLimitOptions {
-    Duration usual = Duration::seconds(8); ///< a target that gets a request every few seconds keeps its connection
-    Duration cautious = Duration::seconds(3); ///< no target was seen to drop a connection sooner
-    Duration cautiousFor = Duration::seconds(30); ///< after a reset that a dropped connection explains
-    Duration quickReset = Duration::millis(12); ///< a dropped connection answers within a round trip between zones, a broken run mostly later
+    Duration defaultLimit = Duration::seconds(8); ///< a target that gets a request every few seconds keeps its connection
+    Duration reducedLimit = Duration::seconds(3); ///< no target was seen to drop a connection sooner
+    Duration reducedFor = Duration::seconds(30); ///< after a reset that a dropped connection explains
+    Duration maxResetDelay = Duration::millis(12); ///< a dropped connection answers within a round trip between zones, a broken run mostly later
 };
 
 class ReuseLimit
@@ -30,22 +30,22 @@
     // Queries
     auto limit(TimePoint now) const -> Duration
     {
-        return now < m_cautiousUntil ? m_options.cautious : m_options.usual;
+        return now < m_reducedUntil ? m_options.reducedLimit : m_options.defaultLimit;
     }
 
     // Commands
     /// A request on a kept connection ended `after` it was sent, without any answer. True if that makes the limit short.
-    auto brokeOff(Duration idleBefore, Duration after, TimePoint now) -> bool
+    auto connectionBroke(Duration idleBefore, Duration after, TimePoint now) -> bool
     {
-        const bool wasDropped = idleBefore >= m_options.cautious && after <= m_options.quickReset;
-        const bool isNew = wasDropped && now >= m_cautiousUntil;
-        m_cautiousUntil = wasDropped ? now + m_options.cautiousFor : m_cautiousUntil;
+        const bool wasDropped = idleBefore >= m_options.reducedLimit && after <= m_options.maxResetDelay;
+        const bool isNew = wasDropped && now >= m_reducedUntil;
+        m_reducedUntil = wasDropped ? now + m_options.reducedFor : m_reducedUntil;
         return isNew;
     }
 
 private:
     ReuseLimitOptions m_options;
-    TimePoint m_cautiousUntil;
+    TimePoint m_reducedUntil;
 };
 
 } // namespace KingCup
--- a/src/core/runnerbook.cpp
+++ b/src/core/runnerbook.cpp
@@ -63,10 +63,10 @@
     return m_ordersTaken;
 }
 
-auto RunnerBook::model(std::string_view name) -> HeldModel *
+auto RunnerBook::model(std::string_view name) -> ResidentModel *
 {
     auto &models = m_description.models;
-    const auto found = std::find_if(models.begin(), models.end(), [&](const HeldModel &held) { return held.name == name; });
+    const auto found = std::find_if(models.begin(), models.end(), [&](const ResidentModel &held) { return held.name == name; });
     return found == models.end() ? nullptr : &*found;
 }
 
@@ -221,7 +221,7 @@
 {
     m_isAsked = false;
     m_reportAt = now + ReportPause;
-    if (report.bornMillis && m_description.incarnation.bornMillis != 0 && *report.bornMillis != m_description.incarnation.bornMillis) {
+    if (report.startedAtMillis && m_description.incarnation.startedAtMillis != 0 && *report.startedAtMillis != m_description.incarnation.startedAtMillis) {
         return; // another start than the row's: the row will follow
     }
     // What a report says is some hundred milliseconds old: fewer orders than are known of may only mean that.
@@ -236,7 +236,7 @@
         m_description.weightsOnDisk = report.weightsOnDisk;
     }
     m_adapters.clear();
-    for (const auto &pending : report.adaptersUnderWay) {
+    for (const auto &pending : report.adaptersLoading) {
         const auto slash = std::min(pending.find('/'), pending.size());
         m_adapters.push_back({{true, pending.substr(0, slash), pending.substr(std::min(slash + 1, pending.size()))}, {}, now + m_options.adapterTime});
     }
@@ -306,7 +306,7 @@
         if (order.isLoad && held == nullptr) {
             models.push_back({order.model, 0, {}});
         } else if (!order.isLoad) {
-            std::erase_if(models, [&](const HeldModel &some) { return some.name == order.model; });
+            std::erase_if(models, [&](const ResidentModel &some) { return some.name == order.model; });
         }
         return;
     }
--- a/src/core/runnerbook.h
+++ b/src/core/runnerbook.h
@@ -103,7 +103,7 @@
     };
     auto isCharged(const Late &late, TimePoint now) const -> bool;
     auto apply(const RunnerOrder &order) -> void;
-    auto model(std::string_view name) -> HeldModel *;
+    auto model(std::string_view name) -> ResidentModel *;
 
     RunnerBookOptions m_options;
     TargetDescription m_description;
--- a/src/core/runonce.cpp
+++ b/src/core/runonce.cpp
@@ -66,8 +66,8 @@
         : settings(givenSettings)
         , claimant(std::move(givenClaimant))
         , queue(CommitSettings {.writesPerSecond = givenSettings.writesPerSecond,
-                                .leastWritesPerSecond = givenSettings.leastWritesPerSecond,
-                                .mostWritesPerSecond = givenSettings.mostWritesPerSecond,
+                                .minWritesPerSecond = givenSettings.leastWritesPerSecond,
+                                .maxWritesPerSecond = givenSettings.mostWritesPerSecond,
                                 .batchesInFlight = givenSettings.batchesInFlight,
                                 .retryDelay = givenSettings.retryDelay})
     {
@@ -190,7 +190,7 @@
     entry.readAt.reset();
     entry.attempt = AttemptId(claimant + "-" + std::to_string(++attempts));
     const ClaimRow claim {.attempt = entry.attempt, .state = ClaimState::Claimed, .keepUntilMs = entry.keepUntilMs, .record = std::nullopt};
-    queue.add({TableOp::Kind::Put, row, expect, serializeClaimRow(claim)}, CommitUrgency::First, now);
+    queue.add({TableOp::Kind::Put, row, expect, serializeClaimRow(claim)}, CommitUrgency::Foreground, now);
 }
 
 auto RunOnce::Private::claimed(const std::string &row, KeyEntry &entry, RowVersion version, TimePoint now) -> void
@@ -225,7 +225,7 @@
     entry.phase = Phase::Releasing;
     entry.runner.reset();
     const ClaimRow claim {.attempt = entry.attempt, .state = ClaimState::Released, .keepUntilMs = entry.keepUntilMs, .record = std::nullopt};
-    queue.add({TableOp::Kind::Put, row, entry.version, serializeClaimRow(claim)}, CommitUrgency::Later, now);
+    queue.add({TableOp::Kind::Put, row, entry.version, serializeClaimRow(claim)}, CommitUrgency::Background, now);
 }
 
 auto RunOnce::Private::released(const std::string &row, KeyEntry &entry, TimePoint now) -> void
@@ -323,7 +323,7 @@
 auto RunOnce::transactDone(BatchId batch, const TransactResult &result, TimePoint now) -> RunOnceActions
 {
     const auto settled = d->queue.done(batch, result, now);
-    for (const auto *group : {&settled.committed, &settled.conflicted, &settled.lost, &settled.unavailable, &settled.untouched}) {
+    for (const auto *group : {&settled.committed, &settled.conflicted, &settled.lost, &settled.unavailable, &settled.notApplied}) {
         d->answered(*group);
     }
     for (const auto &key : settled.committed) {
@@ -491,7 +491,7 @@
     entry.record = bounded(record, d->settings.maxRecordBytes);
     d->answerAll(entry);
     const ClaimRow claim {.attempt = entry.attempt, .state = ClaimState::Done, .keepUntilMs = entry.keepUntilMs, .record = entry.record};
-    d->queue.add({TableOp::Kind::Put, row, entry.version, serializeClaimRow(claim)}, CommitUrgency::Later, now);
+    d->queue.add({TableOp::Kind::Put, row, entry.version, serializeClaimRow(claim)}, CommitUrgency::Background, now);
     return d->finish(now);
 }
 
--- a/src/core/sharedretrybudget.cpp
+++ b/src/core/sharedretrybudget.cpp
@@ -16,10 +16,10 @@
     return static_cast<double>(moments.end() - start);
 }
 
-auto SharedRetryBudget::left(TimePoint now) const -> double
+auto SharedRetryBudget::remaining(TimePoint now) const -> double
 {
-    const double share = m_options.ratio * countIn(m_requests, now) + m_options.allowance / std::max(m_entries, 1);
-    return share * m_options.caution - countIn(m_again, now);
+    const double share = m_options.ratio * countIn(m_requests, now) + m_options.allowance / std::max(m_gateways, 1);
+    return share * m_options.safetyFactor - countIn(m_resends, now);
 }
 
 auto SharedRetryBudget::setOptions(const SharedRetryBudgetOptions &options) -> void
@@ -27,26 +27,26 @@
     m_options = options;
 }
 
-auto SharedRetryBudget::setEntries(int live) -> void
+auto SharedRetryBudget::setGatewayCount(int live) -> void
 {
-    m_entries = live;
+    m_gateways = live;
 }
 
-auto SharedRetryBudget::requested(TimePoint now) -> void
+auto SharedRetryBudget::requestSent(TimePoint now) -> void
 {
     m_requests.push_back(now);
     trim(now);
 }
 
-auto SharedRetryBudget::sentAgain(TimePoint now) -> void
+auto SharedRetryBudget::requestResent(TimePoint now) -> void
 {
-    m_again.push_back(now);
+    m_resends.push_back(now);
     trim(now);
 }
 
 auto SharedRetryBudget::trim(TimePoint now) -> void
 {
-    for (auto *moments : {&m_requests, &m_again}) {
+    for (auto *moments : {&m_requests, &m_resends}) {
         while (!moments->empty() && moments->front() <= now - m_options.window) {
             moments->pop_front();
         }
--- a/src/core/sharedretrybudget.h
+++ b/src/core/sharedretrybudget.h
@@ -17,7 +17,7 @@
     Duration window = Duration::seconds(10);
     double ratio = 0.2; ///< of the requests
     double allowance = 50; ///< per window, all entries together
-    double caution = 0.8; ///< of the budget that is used: entries' windows don't begin together, and some of them may be unknown here
+    double safetyFactor = 0.8; ///< of the budget that is used: entries' windows don't begin together, and some of them may be unknown here
 };
 
 class SharedRetryBudget
@@ -25,21 +25,21 @@
 public:
     explicit SharedRetryBudget(SharedRetryBudgetOptions options = {});
 
-    auto left(TimePoint now) const -> double; ///< sends that may still go out again
+    auto remaining(TimePoint now) const -> double; ///< sends that may still go out again
 
     auto setOptions(const SharedRetryBudgetOptions &options) -> void;
-    auto setEntries(int live) -> void; ///< that share the allowance, this one included
-    auto requested(TimePoint now) -> void; ///< the first send of a request
-    auto sentAgain(TimePoint now) -> void;
+    auto setGatewayCount(int live) -> void; ///< that share the allowance, this one included
+    auto requestSent(TimePoint now) -> void; ///< the first send of a request
+    auto requestResent(TimePoint now) -> void;
 
 private:
     auto countIn(const std::deque<TimePoint> &moments, TimePoint now) const -> double;
     auto trim(TimePoint now) -> void;
 
     SharedRetryBudgetOptions m_options;
-    int m_entries = 1;
+    int m_gateways = 1;
     std::deque<TimePoint> m_requests;
-    std::deque<TimePoint> m_again;
+    std::deque<TimePoint> m_resends;
 };
 
 } // namespace KingCup
--- a/src/core/sharedusage.cpp
+++ b/src/core/sharedusage.cpp
@@ -9,7 +9,7 @@
 namespace KingCup
 {
 
-auto shortAccountName(const AccountName &account) -> std::uint32_t
+auto accountHash(const AccountName &account) -> std::uint32_t
 {
     return static_cast<std::uint32_t>(stableHash(account.text()));
 }
@@ -28,19 +28,19 @@
 auto SharedUsage::isUrgent(const Bucket &bucket) const -> bool
 {
     const double unreported = std::abs(bucket.used - bucket.reported);
-    const bool isNearlyUsedUp = unreported > 0 && bucket.level < bucket.limit.burst * m_options.tightShare;
-    return isNearlyUsedUp || unreported >= bucket.limit.burst * m_options.unreportedShare / static_cast<double>(m_peers.size() + 1);
+    const bool isNearlyExhausted = unreported > 0 && bucket.level < bucket.limit.burst * m_options.nearlyExhaustedShare;
+    return isNearlyExhausted || unreported >= bucket.limit.burst * m_options.maxUnreportedShare / static_cast<double>(m_peers.size() + 1);
 }
 
 auto SharedUsage::isReportUrgent(const AccountName &account) const -> bool
 {
-    const auto found = m_buckets.find(shortAccountName(account));
+    const auto found = m_buckets.find(accountHash(account));
     return found != m_buckets.end() && isUrgent(found->second);
 }
 
 auto SharedUsage::isSettled(TimePoint now) const -> bool
 {
-    return now - m_startedAt >= m_options.learnFor;
+    return now - m_startedAt >= m_options.learningPeriod;
 }
 
 auto SharedUsage::setSilentAfter(Duration span) -> void
@@ -64,25 +64,25 @@
 }
 
 /// Accounts that no gateway with knowledge has reported are unused. Where there is no such gateway all have started at once, and none knows.
-auto SharedUsage::learn(TimePoint now) -> void
+auto SharedUsage::initializeUnreported(TimePoint now) -> void
 {
     if (m_isSettled || !isSettled(now)) {
         return;
     }
     m_isSettled = true;
     for (auto &[name, bucket] : m_buckets) {
-        if (!bucket.isLearnt) {
-            bucket.isLearnt = true;
-            bucket.level += m_hasSettledPeer ? bucket.limit.burst : m_options.firstAllowance;
+        if (!bucket.isInitialized) {
+            bucket.isInitialized = true;
+            bucket.level += m_hasSettledPeer ? bucket.limit.burst : m_options.coldStartAllowance;
             refill(bucket, now);
         }
     }
 }
 
-auto SharedUsage::noteSilent(TimePoint now) -> void
+auto SharedUsage::updateSilentPeers(TimePoint now) -> void
 {
     int silent = 0;
-    std::erase_if(m_peers, [&](const auto &known) { return now - known.second.seenAt > m_options.rememberFor; });
+    std::erase_if(m_peers, [&](const auto &known) { return now - known.second.seenAt > m_options.forgetSilentAfter; });
     for (auto &[id, peer] : m_peers) {
         peer.isSilent = now - peer.seenAt > m_options.silentAfter;
         silent += peer.isSilent ? 1 : 0;
@@ -102,7 +102,7 @@
         if (!account.limit.isLimited()) {
             continue;
         }
-        const auto name = shortAccountName(account.name);
+        const auto name = accountHash(account.name);
         const auto known = m_buckets.find(name);
         auto &bucket = buckets[name];
         if (known != m_buckets.end()) {
@@ -110,7 +110,7 @@
             refill(bucket, now);
         } else {
             bucket.refilledAt = now;
-            bucket.isLearnt = m_isSettled;
+            bucket.isInitialized = m_isSettled;
             bucket.level = m_isSettled ? account.limit.burst : 0;
         }
         bucket.limit = account.limit;
@@ -121,12 +121,12 @@
 
 auto SharedUsage::admit(const AccountName &account, double cost, TimePoint now) -> UsageVerdict
 {
-    const auto found = m_buckets.find(shortAccountName(account));
+    const auto found = m_buckets.find(accountHash(account));
     if (found == m_buckets.end()) {
         return {.isAdmitted = true};
     }
-    noteSilent(now);
-    learn(now);
+    updateSilentPeers(now);
+    initializeUnreported(now);
     auto &bucket = found->second;
     refill(bucket, now);
     UsageVerdict verdict;
@@ -143,9 +143,9 @@
     return verdict;
 }
 
-auto SharedUsage::giveBack(const AccountName &account, double cost, TimePoint now) -> void
+auto SharedUsage::refund(const AccountName &account, double cost, TimePoint now) -> void
 {
-    const auto found = m_buckets.find(shortAccountName(account));
+    const auto found = m_buckets.find(accountHash(account));
     if (found == m_buckets.end()) {
         return;
     }
@@ -157,11 +157,11 @@
 
 auto SharedUsage::takeReport(TimePoint now) -> std::vector<AccountUsage>
 {
-    noteSilent(now);
-    learn(now);
+    updateSilentPeers(now);
+    initializeUnreported(now);
     std::vector<AccountUsage> report;
     for (auto &[name, bucket] : m_buckets) {
-        const bool isLate = bucket.used != bucket.reported && now - bucket.reportedAt >= m_options.reportWithin;
+        const bool isLate = bucket.used != bucket.reported && now - bucket.reportedAt >= m_options.maxReportDelay;
         if (!isLate && !isUrgent(bucket)) {
             continue;
         }
@@ -175,7 +175,7 @@
 
 auto SharedUsage::merge(const UsageReport &report, TimePoint now) -> void
 {
-    noteSilent(now);
+    updateSilentPeers(now);
     auto &peer = m_peers[report.gateway];
     if (peer.isSilent) {
         // Its share was left to it: what it has used meanwhile isn't charged.
@@ -204,8 +204,8 @@
         return;
     }
     auto &bucket = found->second;
-    if (!bucket.isLearnt && isSettledPeer) {
-        bucket.isLearnt = true;
+    if (!bucket.isInitialized && isSettledPeer) {
+        bucket.isInitialized = true;
         bucket.level = static_cast<double>(usage.level);
         return;
     }
--- a/src/core/sharedusage.h
+++ b/src/core/sharedusage.h
@@ -30,18 +30,18 @@
 
 struct SharedUsageOptions {
     Duration silentAfter = Duration::millis(600); ///< without a report of a gateway, until its share is left to it
-    Duration rememberFor = Duration::seconds(30); ///< a silent gateway; it may be cut off for as long
-    Duration learnFor = Duration::millis(1000); ///< after the start, until accounts that no gateway has reported are taken to be unused
-    double firstAllowance = 20000; ///< tokens of each account after a start of all gateways, beyond its rate
-    double unreportedShare = 0.2; ///< of an account's burst, what all gateways together may have used without a report
-    double tightShare = 0.3; ///< of its burst: an account with less left is nearly used up
-    Duration reportWithin = Duration::seconds(1); ///< smaller amounts
+    Duration forgetSilentAfter = Duration::seconds(30); ///< a silent gateway; it may be cut off for as long
+    Duration learningPeriod = Duration::millis(1000); ///< after the start, until accounts that no gateway has reported are taken to be unused
+    double coldStartAllowance = 20000; ///< tokens of each account after a start of all gateways, beyond its rate
+    double maxUnreportedShare = 0.2; ///< of an account's burst, what all gateways together may have used without a report
+    double nearlyExhaustedShare = 0.3; ///< of its burst: an account with less left is nearly used up
+    Duration maxReportDelay = Duration::seconds(1); ///< smaller amounts
 };
 
 // [SECTION] Messages
 
 struct AccountUsage {
-    std::uint32_t account = 0; ///< short name; see shortAccountName()
+    std::uint32_t account = 0; ///< short name; see accountHash()
     std::int64_t used = 0; ///< by the reporting gateway since its start
     std::int64_t level = 0; ///< of its bucket
 };
@@ -53,7 +53,7 @@
     std::vector<AccountUsage> accounts; ///< those that have changed
 };
 
-auto shortAccountName(const AccountName &account) -> std::uint32_t;
+auto accountHash(const AccountName &account) -> std::uint32_t;
 
 // [SECTION] SharedUsage
 
@@ -79,7 +79,7 @@
     /// Charges the account if it has enough left. Accounts without a limit admit everything.
     auto admit(const AccountName &account, double cost, TimePoint now) -> UsageVerdict;
     /// A request that was admitted did not run.
-    auto giveBack(const AccountName &account, double cost, TimePoint now) -> void;
+    auto refund(const AccountName &account, double cost, TimePoint now) -> void;
     /// What is due; call several times a second.
     auto takeReport(TimePoint now) -> std::vector<AccountUsage>;
 
@@ -96,7 +96,7 @@
         double used = 0; ///< by this gateway
         double reported = 0; ///< of that
         TimePoint reportedAt;
-        bool isLearnt = false; ///< the level takes account of what was used before this gateway's start
+        bool isInitialized = false; ///< the level takes account of what was used before this gateway's start
     };
     struct Peer {
         EntryId start;
@@ -107,8 +107,8 @@
     };
     auto refill(Bucket &bucket, TimePoint now) const -> void;
     auto refillAll(TimePoint now) -> void;
-    auto learn(TimePoint now) -> void;
-    auto noteSilent(TimePoint now) -> void;
+    auto initializeUnreported(TimePoint now) -> void;
+    auto updateSilentPeers(TimePoint now) -> void;
     auto isUrgent(const Bucket &bucket) const -> bool;
     auto mergeAccount(Peer &peer, const AccountUsage &usage, bool isSettledPeer) -> void;
 
--- a/src/core/table.h
+++ b/src/core/table.h
@@ -38,7 +38,7 @@
 /// The most operations that one transaction may hold.
 constexpr std::size_t MaxTransactionOps = 100;
 
-enum class TransactEnd {
+enum class TransactOutcome {
     Committed, ///< all operations took effect
     Conflict, ///< none did: some row had another version
     Refused, ///< none did: throttled, unavailable or not connected
@@ -46,7 +46,7 @@
 };
 
 struct TransactResult {
-    TransactEnd end = TransactEnd::Lost;
+    TransactOutcome outcome = TransactOutcome::Lost;
     bool throttled = false; ///< Refused: only for load, try again soon
     RowVersion version; ///< Committed: of every row written
     std::vector<std::pair<std::string, RowVersion>> conflicts; ///< Conflict: keys that didn't match, with their versions (0: absent)
--- a/src/core/targetinfo.cpp
+++ b/src/core/targetinfo.cpp
@@ -5,14 +5,14 @@
 namespace KingCup
 {
 
-auto HeldModel::hasAdapter(std::string_view adapter) const -> bool
+auto ResidentModel::hasAdapter(std::string_view adapter) const -> bool
 {
     return std::find(adapters.begin(), adapters.end(), adapter) != adapters.end();
 }
 
-auto TargetDescription::model(std::string_view name) const -> const HeldModel *
+auto TargetDescription::model(std::string_view name) const -> const ResidentModel *
 {
-    const auto found = std::find_if(models.begin(), models.end(), [&](const HeldModel &held) { return held.name == name; });
+    const auto found = std::find_if(models.begin(), models.end(), [&](const ResidentModel &held) { return held.name == name; });
     return found == models.end() ? nullptr : &*found;
 }
 
--- a/src/core/targetinfo.h
+++ b/src/core/targetinfo.h
@@ -22,20 +22,20 @@
 // [SECTION] Description
 
 /// A model that a runner holds.
-struct HeldModel {
+struct ResidentModel {
     std::string name;
     std::uint64_t version = 0; ///< of its weights
     std::vector<std::string> adapters; ///< ready to use
     bool isDraining = false; ///< to be unloaded when its last stream has ended: takes no new requests if another copy can
 
     auto hasAdapter(std::string_view adapter) const -> bool;
-    auto operator==(const HeldModel &) const -> bool = default;
+    auto operator==(const ResidentModel &) const -> bool = default;
 };
 
 /// One start of a target. The same id may start again: then everything it held and counted is gone.
 struct TargetIncarnation {
     TargetId id;
-    std::uint64_t bornMillis = 0; ///< when it started, by its own time of day; only compared for being the same; 0: not said
+    std::uint64_t startedAtMillis = 0; ///< when it started, by its own time of day; only compared for being the same; 0: not said
 
     auto operator<=>(const TargetIncarnation &) const = default;
 };
@@ -48,21 +48,21 @@
     std::string softwareVersion;
     int slots = 0; ///< requests it runs at once
     bool isLeaving = false; ///< takes no new work
-    std::optional<Duration> goneWithin; ///< leaving at short notice: whatever still runs then is cut off
-    Duration slowFor; ///< after its start it is slow for this much longer
-    std::vector<HeldModel> models;
+    std::optional<Duration> terminatesIn; ///< leaving at short notice: whatever still runs then is cut off
+    Duration warmupRemaining; ///< after its start it is slow for this much longer
+    std::vector<ResidentModel> models;
     std::vector<std::string> weightsInMemory; ///< models whose weights it can load from its own memory
     std::vector<std::string> weightsOnDisk; ///< or from its own disk
 
-    auto model(std::string_view name) const -> const HeldModel *;
+    auto model(std::string_view name) const -> const ResidentModel *;
 };
 
 // [SECTION] Report
 
 struct RunnerReport {
-    std::optional<std::uint64_t> bornMillis; ///< of the start that answers; nothing if it doesn't say
-    std::vector<HeldModel> models;
-    std::vector<std::string> adaptersUnderWay; ///< "MODEL/ADAPTER", being fetched
+    std::optional<std::uint64_t> startedAtMillis; ///< of the start that answers; nothing if it doesn't say
+    std::vector<ResidentModel> models;
+    std::vector<std::string> adaptersLoading; ///< "MODEL/ADAPTER", being fetched
     bool isBusy = false; ///< carrying out an order
     std::uint64_t ordersTaken = 0;
     int waiting = 0; ///< requests in its own queue
--- a/src/core/versionswitch.cpp
+++ b/src/core/versionswitch.cpp
@@ -13,23 +13,23 @@
 {
     std::vector<ArtifactName> result;
     for (const auto &[model, version] : m_effective) {
-        if (version != m_wanted.at(model)) {
+        if (version != m_declared.at(model)) {
             result.push_back(version);
         }
     }
     return result;
 }
 
-auto VersionSwitch::update(const Declarations &declarations, const IsReachable &isReachable) -> void
+auto VersionSwitch::update(const Declarations &declarations, const IsResident &isResident) -> void
 {
     std::erase_if(m_effective, [&](const auto &entry) { return !declarations.models.contains(entry.first); });
-    m_wanted.clear();
+    m_declared.clear();
     for (const auto &[name, model] : declarations.models) {
-        m_wanted[name] = model.current;
+        m_declared[name] = model.current;
         auto &version = m_effective[name];
         const bool isFirst = version.isEmpty();
-        const bool oldIsGone = !isFirst && !isReachable(version);
-        if (isFirst || oldIsGone || isReachable(model.current)) {
+        const bool oldIsGone = !isFirst && !isResident(version);
+        if (isFirst || oldIsGone || isResident(model.current)) {
             version = model.current;
         }
     }
--- a/src/core/versionswitch.h
+++ b/src/core/versionswitch.h
@@ -18,7 +18,7 @@
 {
 public:
     /// Whether some live target has the artifact resident.
-    using IsReachable = std::function<bool(const ArtifactName &)>;
+    using IsResident = std::function<bool(const ArtifactName &)>;
 
     // Queries
     /// The version to use for the model; empty if it isn't known.
@@ -28,11 +28,11 @@
 
     // Commands
     /// Call when a revision is adopted, and about once a second.
-    auto update(const Declarations &declarations, const IsReachable &isReachable) -> void;
+    auto update(const Declarations &declarations, const IsResident &isResident) -> void;
 
 private:
     std::map<std::string, ArtifactName> m_effective;
-    std::map<std::string, ArtifactName> m_wanted;
+    std::map<std::string, ArtifactName> m_declared;
 };
 
 } // namespace KingCup
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -196,8 +196,8 @@
     const auto writeId = settings.entry + "-floor-" + std::to_string(loop.now().inMicros());
     hooks.table.transact(writeId, {op}, [this, text](const TransactResult &result) {
         writing = false;
-        LOG(INFO) << "placement: wrote floor row committed=" << (result.end == TransactEnd::Committed) << " version=" << result.version;
-        if (result.end == TransactEnd::Committed) {
+        LOG(INFO) << "placement: wrote floor row committed=" << (result.outcome == TransactOutcome::Committed) << " version=" << result.version;
+        if (result.outcome == TransactOutcome::Committed) {
             adoptFloor(result.version, text);
         }
         // Otherwise the next read tells what became of it.
--- a/src/gateway/copyuse.cpp
+++ b/src/gateway/copyuse.cpp
@@ -28,11 +28,11 @@
     return result;
 }
 
-auto CopyUse::held(const TargetId &target, const std::vector<HeldModel> &models) -> void
+auto CopyUse::held(const TargetId &target, const std::vector<ResidentModel> &models) -> void
 {
     bool isNew = false;
     std::erase_if(m_draining, [&](const CopyKey &copy) {
-        const auto isCopy = [&](const HeldModel &held) {
+        const auto isCopy = [&](const ResidentModel &held) {
             return held.name == copy.second && held.isDraining;
         };
         return copy.first == target && std::none_of(models.begin(), models.end(), isCopy);
--- a/src/gateway/digests.cpp
+++ b/src/gateway/digests.cpp
@@ -219,7 +219,7 @@
     Wire::ControlFrame frame;
     auto *holding = frame.mutable_holding();
     holding->set_target(target.incarnation.id.text());
-    holding->set_born_ms(target.incarnation.bornMillis);
+    holding->set_born_ms(target.incarnation.startedAtMillis);
     for (const auto &model : target.models) {
         auto *added = holding->add_models();
         added->set_name(model.name);
@@ -232,11 +232,11 @@
     return frame;
 }
 
-auto modelsOf(const Wire::Holding &holding) -> std::vector<HeldModel>
+auto modelsOf(const Wire::Holding &holding) -> std::vector<ResidentModel>
 {
-    std::vector<HeldModel> models;
+    std::vector<ResidentModel> models;
     for (const auto &model : holding.models()) {
-        HeldModel held;
+        ResidentModel held;
         held.name = model.name();
         held.version = model.version();
         held.isDraining = model.draining();
--- a/src/gateway/digests.h
+++ b/src/gateway/digests.h
@@ -41,6 +41,6 @@
 auto cellLoadOf(const Wire::CellLoad &message, const EntryId &self, const TargetNames &names) -> CellLoad;
 
 auto residencyFrame(const TargetDescription &target) -> Wire::ControlFrame;
-auto modelsOf(const Wire::Holding &holding) -> std::vector<HeldModel>;
+auto modelsOf(const Wire::Holding &holding) -> std::vector<ResidentModel>;
 
 } // namespace KingCup
--- a/src/gateway/forwardedanswer.cpp
+++ b/src/gateway/forwardedanswer.cpp
@@ -217,7 +217,7 @@
         attempt();
         return;
     }
-    if (end.wasReused && !m_hasHead && m_owner.parts.reuse.brokeOff(end.idleBefore, now() - m_sentAt, now())) {
+    if (end.wasReused && !m_hasHead && m_owner.parts.reuse.connectionBroke(end.idleBefore, now() - m_sentAt, now())) {
         m_owner.parts.log.line("connections", "dropped-while-idle").add("target", m_target.text()).add("idle", end.idleBefore);
     }
     m_request.excluded.push_back(m_target);
@@ -271,12 +271,12 @@
 
 auto ForwardedRequest::maySendAgain() const -> bool
 {
-    return m_sends < m_owner.options.mostSends && m_owner.budget(m_request.service).left(now()) >= 1;
+    return m_sends < m_owner.options.mostSends && m_owner.budget(m_request.service).remaining(now()) >= 1;
 }
 
 auto ForwardedRequest::sendAgain() -> void
 {
-    m_owner.budget(m_request.service).sentAgain(now());
+    m_owner.budget(m_request.service).requestResent(now());
     attempt();
 }
 
--- a/src/gateway/forwardedrequest.cpp
+++ b/src/gateway/forwardedrequest.cpp
@@ -81,7 +81,7 @@
         onGone();
     };
     m_deadlineTimer = m_owner.parts.loop.after(m_deadline - now(), [this] { onTimeout(); });
-    m_owner.budget(m_request.service).requested(now());
+    m_owner.budget(m_request.service).requestSent(now());
     m_owner.hooks.onRequest(m_request);
     attempt();
 }
@@ -368,7 +368,7 @@
     m_exchange->onGone = nullptr;
     m_exchange->onDrained = nullptr;
     if (m_grant && certainlyDidNotRun()) {
-        m_owner.parts.access.giveBack(*m_grant, now());
+        m_owner.parts.access.refund(*m_grant, now());
     }
     if (m_call) {
         const auto call = std::exchange(m_call, nullptr);
--- a/src/gateway/forwardedrequest.h
+++ b/src/gateway/forwardedrequest.h
@@ -53,7 +53,7 @@
     {
         auto [found, isNew] = budgets.try_emplace(service, budgetOptions);
         if (isNew) {
-            found->second.setEntries(entries);
+            found->second.setGatewayCount(entries);
         }
         return found->second;
     }
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -125,7 +125,7 @@
 {
     d->entries = live;
     for (auto &[service, budget] : d->budgets) {
-        budget.setEntries(live);
+        budget.setGatewayCount(live);
     }
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -451,7 +451,7 @@
         }
     }
     if (adapter.empty()) {
-        std::erase_if(models, [&](const HeldModel &held) { return held.name == model; });
+        std::erase_if(models, [&](const ResidentModel &held) { return held.name == model; });
     }
     dispatcher.targetHolds(target, models);
     demand->missing({about->service, model, adapter});
--- a/src/gateway/ordertask.cpp
+++ b/src/gateway/ordertask.cpp
@@ -41,7 +41,7 @@
 /// Requests of one moment are served together; much shorter than the loading of an adapter.
 constexpr auto PendingDelay = Duration::millis(1);
 
-auto textOf(const std::vector<HeldModel> &models) -> std::string
+auto textOf(const std::vector<ResidentModel> &models) -> std::string
 {
     std::string text;
     for (const auto &model : models) {
@@ -296,7 +296,7 @@
             .add("waiting", report->waiting)
             .add("kv", report->kvUsed)
             .add("holds", textOf(report->models))
-            .add("under-way", static_cast<int>(report->adaptersUnderWay.size()));
+            .add("under-way", static_cast<int>(report->adaptersLoading.size()));
         publishResidency(*runner);
         servePendingSoon();
     });
--- a/src/gateway/storeclient.h
+++ b/src/gateway/storeclient.h
@@ -88,7 +88,7 @@
 struct TableWatchOptions {
     Duration wait = Duration::seconds(20); ///< of one watch call; one that the store took and forgot shows only after this
     Duration probe = Duration::millis(300); ///< likewise, until the store has answered again: whoever was cut off must hear soon that it is back
-    BackoffOptions backoff {.first = Duration::millis(50), .most = Duration::millis(500)}; ///< after a failed call
+    BackoffOptions backoff {.initial = Duration::millis(50), .max = Duration::millis(500)}; ///< after a failed call
 };
 
 class TableWatch
--- a/src/gateway/targetdirectory.cpp
+++ b/src/gateway/targetdirectory.cpp
@@ -23,7 +23,7 @@
     for (const auto &[target, at] : m_leaving) {
         auto *added = digest.add_leaving();
         added->set_target(target.id.text());
-        added->set_born_ms(target.bornMillis);
+        added->set_born_ms(target.startedAtMillis);
     }
 }
 
@@ -67,10 +67,10 @@
     apply(m_view.misdirected(target));
 }
 
-auto TargetDirectory::reportedResidency(const TargetId &target, std::uint64_t bornMillis, const std::vector<HeldModel> &models) -> bool
+auto TargetDirectory::reportedResidency(const TargetId &target, std::uint64_t bornMillis, const std::vector<ResidentModel> &models) -> bool
 {
     const auto *about = m_parts.dispatcher.description(target);
-    if (about == nullptr || about->incarnation.bornMillis != bornMillis) {
+    if (about == nullptr || about->incarnation.startedAtMillis != bornMillis) {
         return false;
     }
     m_residencies[target] = {about->incarnation, models};
@@ -100,7 +100,7 @@
     const auto &id = target.incarnation.id;
     m_parts.log.line("targets", target.isLeaving ? "leaving" : "seen")
         .add("target", id.text())
-        .add("born", target.incarnation.bornMillis)
+        .add("born", target.incarnation.startedAtMillis)
         .add("service", target.service.text())
         .add("address", toString(target.address))
         .add("models", static_cast<int>(target.models.size()));
--- a/src/gateway/targetdirectory.h
+++ b/src/gateway/targetdirectory.h
@@ -54,14 +54,14 @@
     /// Another target answers at its address.
     auto misdirected(const TargetId &target) -> void;
     /// By the lease holder: newer than the row. False if it is about another start of the target.
-    auto reportedResidency(const TargetId &target, std::uint64_t bornMillis, const std::vector<HeldModel> &models) -> bool;
+    auto reportedResidency(const TargetId &target, std::uint64_t bornMillis, const std::vector<ResidentModel> &models) -> bool;
     auto advance() -> void; ///< call a few times a second
 
 private:
     /// What the gateway that gives orders says that one start of a runner holds.
     struct ReportedResidency {
         TargetIncarnation incarnation;
-        std::vector<HeldModel> models;
+        std::vector<ResidentModel> models;
     };
     auto doubtMassLoss(const std::vector<StoredRow> &rows) -> void;
     auto apply(const TargetChanges &changes) -> void;
--- a/src/kingcupctl/logcommands.cpp
+++ b/src/kingcupctl/logcommands.cpp
@@ -47,7 +47,7 @@
     }
     TextTable table({"TIME", "HOST", "", "LINE"});
     for (const auto &line : selection.lines()) {
-        table.addRow({std::to_string(line.wallMillis), line.host, line.isAbout ? ">" : "", line.text});
+        table.addRow({std::to_string(line.wallMillis), line.host, line.hasRequestId ? ">" : "", line.text});
     }
     std::cout << table.toText();
     return ExitCode::Ok;
--- a/src/operator/operatorcodec.cpp
+++ b/src/operator/operatorcodec.cpp
@@ -10,7 +10,7 @@
 
 constexpr int MillisPerSecond = 1000;
 
-auto toProto(const Place &place) -> OperatorProto::Place
+auto toProto(const SourceLocation &place) -> OperatorProto::Place
 {
     OperatorProto::Place message;
     message.set_file(place.file);
@@ -18,7 +18,7 @@
     return message;
 }
 
-auto fromProto(const OperatorProto::Place &message) -> Place
+auto fromProto(const OperatorProto::Place &message) -> SourceLocation
 {
     return {message.file(), message.line()};
 }
@@ -47,7 +47,7 @@
         pattern->set_method(call.method);
         pattern->set_path_prefix(call.pathPrefix);
     }
-    *message.mutable_place() = toProto(service.place);
+    *message.mutable_place() = toProto(service.location);
     return message;
 }
 
@@ -69,7 +69,7 @@
     for (const auto &pattern : message.non_idempotent_calls()) {
         service.nonIdempotentCalls.push_back({pattern.method(), pattern.path_prefix()});
     }
-    service.place = fromProto(message.place());
+    service.location = fromProto(message.place());
     return service;
 }
 
@@ -79,7 +79,7 @@
     message.set_name(model.name);
     message.set_service(model.service.text());
     message.set_current(model.current.text());
-    *message.mutable_place() = toProto(model.place);
+    *message.mutable_place() = toProto(model.location);
     return message;
 }
 
@@ -89,7 +89,7 @@
             .service = ServiceName(message.service()),
             .current = ArtifactName(message.current()),
             .versions = {},
-            .place = fromProto(message.place())};
+            .location = fromProto(message.place())};
 }
 
 auto toVersion(const Artifact &artifact) -> OperatorProto::Version
@@ -98,7 +98,7 @@
     message.set_name(artifact.name.text());
     message.set_service(artifact.service.text());
     message.set_size_bytes(artifact.size.count());
-    *message.mutable_place() = toProto(artifact.place);
+    *message.mutable_place() = toProto(artifact.location);
     return message;
 }
 
@@ -109,7 +109,7 @@
             .service = ServiceName(message.service()),
             .base = {},
             .size = Bytes(message.size_bytes()),
-            .place = fromProto(message.place())};
+            .location = fromProto(message.place())};
 }
 
 auto toAdapter(const Artifact &artifact) -> OperatorProto::Adapter
@@ -119,7 +119,7 @@
     message.set_service(artifact.service.text());
     message.set_base(artifact.base.text());
     message.set_size_bytes(artifact.size.count());
-    *message.mutable_place() = toProto(artifact.place);
+    *message.mutable_place() = toProto(artifact.location);
     return message;
 }
 
@@ -130,7 +130,7 @@
             .service = ServiceName(message.service()),
             .base = ArtifactName(message.base()),
             .size = Bytes(message.size_bytes()),
-            .place = fromProto(message.place())};
+            .location = fromProto(message.place())};
 }
 
 auto toProto(const Target &target) -> OperatorProto::Target
@@ -140,7 +140,7 @@
     message.set_service(target.service.text());
     message.set_checks_fence(target.fencing == FencingSupport::Checked);
     message.set_longest_order_delay_ms(target.longestOrderDelay.inMillis());
-    *message.mutable_place() = toProto(target.place);
+    *message.mutable_place() = toProto(target.location);
     return message;
 }
 
@@ -150,7 +150,7 @@
             .service = ServiceName(message.service()),
             .fencing = message.checks_fence() ? FencingSupport::Checked : FencingSupport::Ignored,
             .longestOrderDelay = Duration::millis(message.longest_order_delay_ms()),
-            .place = fromProto(message.place())};
+            .location = fromProto(message.place())};
 }
 
 auto toProto(const Policy &policy) -> OperatorProto::Policy
@@ -162,7 +162,7 @@
     message.set_parallel_loads(policy.parallelLoads);
     message.set_kv_reserve(policy.kvReserve);
     message.set_floor_zones(policy.floorZones);
-    *message.mutable_place() = toProto(policy.place);
+    *message.mutable_place() = toProto(policy.location);
     return message;
 }
 
@@ -174,13 +174,13 @@
             .parallelLoads = message.parallel_loads(),
             .kvReserve = message.kv_reserve(),
             .floorZones = message.floor_zones(),
-            .place = fromProto(message.place())};
+            .location = fromProto(message.place())};
 }
 
 template<typename Map, typename Key, typename Value>
 auto insertNew(Map &map, const Key &key, Value value, const std::string &what, Findings &findings) -> void
 {
-    const auto place = value.place;
+    const auto place = value.location;
     if (!map.emplace(key, std::move(value)).second) {
         findings.push_back({place, what + " is declared twice"});
     }
@@ -342,7 +342,7 @@
 auto toProto(const Finding &finding) -> OperatorProto::Finding
 {
     OperatorProto::Finding message;
-    *message.mutable_place() = toProto(finding.place);
+    *message.mutable_place() = toProto(finding.location);
     message.set_message(finding.message);
     return message;
 }
--- a/src/platform/platformcaller.h
+++ b/src/platform/platformcaller.h
@@ -24,7 +24,7 @@
     Duration timeout = Duration::seconds(2); ///< of one try
     std::size_t maxInFlight = 64; ///< further calls are refused
     BreakerOptions breaker;
-    BackoffOptions backoff {.first = Duration::millis(50), .most = Duration::seconds(2)}; ///< between two tries of a read
+    BackoffOptions backoff {.initial = Duration::millis(50), .max = Duration::seconds(2)}; ///< between two tries of a read
 };
 
 // [SECTION] Answer
--- a/src/platform/tableclient.cpp
+++ b/src/platform/tableclient.cpp
@@ -53,10 +53,10 @@
 {
     const auto json = parseJson(answer.body);
     if (answer.status == HttpStatus::Ok && boolOf(member(json, "committed"))) {
-        result.end = TransactEnd::Committed;
+        result.outcome = TransactOutcome::Committed;
         result.version = RowVersion(unsignedOf(member(json, "version")));
     } else if (answer.status == HttpStatus::Conflict) {
-        result.end = TransactEnd::Conflict;
+        result.outcome = TransactOutcome::Conflict;
         for (const auto &row : member(json, "conflicts")) {
             result.conflicts.emplace_back(textOf(member(row, "key")), RowVersion(unsignedOf(member(row, "version"))));
         }
@@ -70,7 +70,7 @@
     TransactResult result;
     result.throttled = answer.throttled;
     if (answer.end == PlatformEnd::Refused) {
-        result.end = TransactEnd::Refused;
+        result.outcome = TransactOutcome::Refused;
     } else if (answer.end == PlatformEnd::Answered) {
         verdictOf(answer, result);
     }
--- a/src/settings/daemonsettings.cpp
+++ b/src/settings/daemonsettings.cpp
@@ -430,7 +430,7 @@
         return;
     }
     for (const auto &value : section.values) {
-        const Place place {file.path, value.line};
+        const SourceLocation place {file.path, value.line};
         const auto *spec = findSpec(section.name, value.key);
         if (spec == nullptr) {
             result.findings.push_back({place, "unknown key '" + value.key + "' in [" + section.name + "]"});
@@ -516,7 +516,7 @@
     }
     checkRequired(parsed.value, result);
     checkTls(parsed.value, result);
-    std::stable_sort(result.findings.begin(), result.findings.end(), [](const Finding &a, const Finding &b) { return a.place.line < b.place.line; });
+    std::stable_sort(result.findings.begin(), result.findings.end(), [](const Finding &a, const Finding &b) { return a.location.line < b.location.line; });
     return result;
 }
 
--- a/src/settings/declarationfile.cpp
+++ b/src/settings/declarationfile.cpp
@@ -30,7 +30,7 @@
     {
     }
 
-    auto place() const -> Place
+    auto place() const -> SourceLocation
     {
         return {m_file.path, m_section.line};
     }
@@ -206,7 +206,7 @@
 
     auto readService(SectionReader &reader, const std::string &name) -> void
     {
-        Service service {.name = ServiceName(name), .place = reader.place()};
+        Service service {.name = ServiceName(name), .location = reader.place()};
         reader.choice("kind", {"models", "plain"}, [&](std::size_t index) { service.kind = static_cast<ServiceKind>(index); })
             .choice("priority", {"interactive", "standard", "batch"}, [&](std::size_t index) { service.priority = static_cast<Priority>(index); })
             .integer("time-budget-ms", 1, MostMillis, [&](std::int64_t n) { service.timeBudget = Duration::millis(n); })
@@ -219,7 +219,7 @@
 
     auto readModel(SectionReader &reader, const std::string &name) -> void
     {
-        Model model {.name = name, .place = reader.place()};
+        Model model {.name = name, .location = reader.place()};
         const auto setCurrent = [&](const std::string &text) {
             model.current = ArtifactName(text.find('@') == std::string::npos ? name + "@" + text : text);
         };
@@ -229,7 +229,7 @@
 
     auto readVersion(SectionReader &reader, const std::string &name) -> void
     {
-        Artifact artifact {.name = ArtifactName(name), .place = reader.place()};
+        Artifact artifact {.name = ArtifactName(name), .location = reader.place()};
         readSize(reader, artifact);
         reader.refuseOthers();
         insert(m_result.value.artifacts, artifact.name, artifact, reader.place(), "artifact " + name);
@@ -237,7 +237,7 @@
 
     auto readAdapter(SectionReader &reader, const std::string &name) -> void
     {
-        Artifact artifact {.name = ArtifactName(name), .kind = ArtifactKind::Adapter, .place = reader.place()};
+        Artifact artifact {.name = ArtifactName(name), .kind = ArtifactKind::Adapter, .location = reader.place()};
         reader.reference("base", [&](const std::string &text) { artifact.base = ArtifactName(text); });
         readSize(reader, artifact);
         reader.refuseOthers();
@@ -255,7 +255,7 @@
 
     auto readTarget(SectionReader &reader, const std::string &name) -> void
     {
-        Target target {.id = TargetId(name), .place = reader.place()};
+        Target target {.id = TargetId(name), .location = reader.place()};
         reader.reference("service", [&](const std::string &text) { target.service = ServiceName(text); })
             .choice("fencing", {"checked", "ignored"}, [&](std::size_t index) { target.fencing = static_cast<FencingSupport>(index); })
             .integer("longest-order-delay-ms", 0, MostMillis, [&](std::int64_t n) { target.longestOrderDelay = Duration::millis(n); })
@@ -270,11 +270,11 @@
         constexpr double MostReserve = 0.95;
         constexpr std::int64_t MostZones = 100;
         auto &policy = m_result.value.policy;
-        if (policy.place.line != 0) {
-            complain(reader.place(), "[policy] stands twice, first in " + policy.place.file + ":" + std::to_string(policy.place.line));
+        if (policy.location.line != 0) {
+            complain(reader.place(), "[policy] stands twice, first in " + policy.location.file + ":" + std::to_string(policy.location.line));
             return;
         }
-        policy.place = reader.place();
+        policy.location = reader.place();
         reader.decimal("move-cost", 0, MostRate, [&](double number) { policy.moveCost = number; })
             .integer("horizon-s", 1, MostSeconds, [&](std::int64_t n) { policy.horizon = Duration::seconds(static_cast<double>(n)); })
             .decimal("loads-per-second", 0.001, MostRate, [&](double number) { policy.loadsPerSecond = number; })
@@ -285,13 +285,13 @@
     }
 
     template<typename Map, typename Key, typename Value>
-    auto insert(Map &map, const Key &key, const Value &value, const Place &place, const std::string &what) -> void
+    auto insert(Map &map, const Key &key, const Value &value, const SourceLocation &place, const std::string &what) -> void
     {
         const auto [known, isNew] = map.emplace(key, value);
         // Twice in one file is a finding of the INI reader already. A version and an adapter of one name are not.
-        const bool isReported = known->second.place.file == place.file && isSameKind(known->second, value);
+        const bool isReported = known->second.location.file == place.file && isSameKind(known->second, value);
         if (!isNew && !isReported) {
-            complain(place, what + " is declared twice, first in " + known->second.place.file + ":" + std::to_string(known->second.place.line));
+            complain(place, what + " is declared twice, first in " + known->second.location.file + ":" + std::to_string(known->second.location.line));
         }
     }
 
@@ -305,7 +305,7 @@
         return a.kind == b.kind;
     }
 
-    auto complain(const Place &place, std::string message) -> void
+    auto complain(const SourceLocation &place, std::string message) -> void
     {
         m_result.findings.push_back({place, std::move(message)});
     }
@@ -322,7 +322,7 @@
 auto sortByPlace(Findings &findings) -> void
 {
     std::stable_sort(findings.begin(), findings.end(), [](const Finding &a, const Finding &b) {
-        return std::tie(a.place.file, a.place.line) < std::tie(b.place.file, b.place.line);
+        return std::tie(a.location.file, a.location.line) < std::tie(b.location.file, b.location.line);
     });
 }
 
--- a/tests/fuzz_declarations.cpp
+++ b/tests/fuzz_declarations.cpp
@@ -33,7 +33,7 @@
 auto arePlacesInside(const Findings &findings, const std::string &text) -> bool
 {
     return std::all_of(findings.begin(), findings.end(), [&](const Finding &finding) {
-        return finding.place.line >= 0 && finding.place.line <= lineCount(text) && !finding.message.empty();
+        return finding.location.line >= 0 && finding.location.line <= lineCount(text) && !finding.message.empty();
     });
 }
 
--- a/tests/fuzz_platform.cpp
+++ b/tests/fuzz_platform.cpp
@@ -93,7 +93,8 @@
         const auto target = Platform::decodeTarget("r1", garbled(round, Row));
         read += target ? 1 : 0;
         INFO("round " << round);
-        REQUIRE((!target || (target->slots >= 0 && target->address.port > 0 && isSpan(target->slowFor) && isSpan(target->goneWithin.value_or(Duration())))));
+        REQUIRE((!target
+                 || (target->slots >= 0 && target->address.port > 0 && isSpan(target->warmupRemaining) && isSpan(target->terminatesIn.value_or(Duration())))));
     }
     REQUIRE(read > Rounds / 20);
 }
--- a/tests/sim_table.h
+++ b/tests/sim_table.h
@@ -83,7 +83,7 @@
     {
         if (down || chance(faults.refused)) {
             const bool throttled = !down && chance(0.5);
-            return answer([done, throttled] { done({.end = TransactEnd::Refused, .throttled = throttled}); });
+            return answer([done, throttled] { done({.outcome = TransactOutcome::Refused, .throttled = throttled}); });
         }
         if (chance(faults.lostRequest)) {
             return lose(done);
@@ -121,16 +121,16 @@
 
     auto apply(const std::vector<TableOp> &ops) -> TransactResult
     {
-        TransactResult result {.end = TransactEnd::Committed};
+        TransactResult result {.outcome = TransactOutcome::Committed};
         for (const auto &op : ops) {
             const auto found = rows.find(op.key);
             const auto version = found == rows.end() ? RowVersion() : found->second.version;
             if (version != op.expect) {
-                result.end = TransactEnd::Conflict;
+                result.outcome = TransactOutcome::Conflict;
                 result.conflicts.emplace_back(op.key, version);
             }
         }
-        if (result.end == TransactEnd::Conflict) {
+        if (result.outcome == TransactOutcome::Conflict) {
             return result;
         }
         result.version = RowVersion(++m_version);
@@ -165,7 +165,7 @@
     }
     auto lose(const std::function<void(const TransactResult &)> &done) -> void
     {
-        m_clock.after(faults.timeout, [done] { done({.end = TransactEnd::Lost}); });
+        m_clock.after(faults.timeout, [done] { done({.outcome = TransactOutcome::Lost}); });
     }
 
     SimClock &m_clock;
--- a/tests/unit_accounts.cpp
+++ b/tests/unit_accounts.cpp
@@ -20,7 +20,7 @@
     ClientAccount account;
     account.name = AccountName(name);
     account.keys = {digestOf(key)};
-    account.limit = {.unit = UsageUnit::Tokens, .perSecond = perSecond, .burst = perSecond, .plainRequest = 200};
+    account.limit = {.unit = UsageUnit::Tokens, .perSecond = perSecond, .burst = perSecond, .defaultTokens = 200};
     return account;
 }
 
@@ -226,6 +226,6 @@
     const auto first = access.decide("Bearer k", 900, at(0));
     REQUIRE(first.grant);
     CHECK(access.decide("Bearer k", 900, at(0)).refusal == AccessRefusal::OverLimit);
-    access.giveBack(*first.grant, at(0));
+    access.refund(*first.grant, at(0));
     CHECK(access.decide("Bearer k", 900, at(0)).grant);
 }
--- a/tests/unit_breaker.cpp
+++ b/tests/unit_breaker.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr BreakerOptions Options {.failuresToOpen = 3, .pause = {.first = Duration::seconds(1), .most = Duration::seconds(4)}};
+constexpr BreakerOptions Options {.failuresToOpen = 3, .pause = {.initial = Duration::seconds(1), .max = Duration::seconds(4)}};
 
 auto at(double seconds) -> TimePoint
 {
@@ -70,7 +70,7 @@
 TEST_CASE("back-off doubles up to its most, with jitter below it, and starts anew")
 {
     std::minstd_rand random(7);
-    Backoff backoff({.first = Duration::millis(100), .most = Duration::millis(400)});
+    Backoff backoff({.initial = Duration::millis(100), .max = Duration::millis(400)});
     for (const auto most : {100, 200, 400, 400, 400}) {
         const auto delay = backoff.next(random);
         REQUIRE(delay <= Duration::millis(most));
--- a/tests/unit_claimtask.cpp
+++ b/tests/unit_claimtask.cpp
@@ -14,7 +14,7 @@
 {
     TableAccess table;
     table.transact = [&](const std::string &, const std::vector<TableOp> &, const std::function<void(const TransactResult &)> &done) {
-        loop.post([&version, done] { done({.end = TransactEnd::Committed, .version = RowVersion(static_cast<std::uint64_t>(++version))}); });
+        loop.post([&version, done] { done({.outcome = TransactOutcome::Committed, .version = RowVersion(static_cast<std::uint64_t>(++version))}); });
     };
     return table;
 }
--- a/tests/unit_configlog.cpp
+++ b/tests/unit_configlog.cpp
@@ -148,11 +148,11 @@
     std::optional<CommitDecision> decided;
     ConfigCommit commit({.change = ChangeId("c"), .expected = Revision(), .author = "", .declarations = "", .digest = "d"}, world.clock.now() + Budget);
     const auto write = std::get<WriteConfig>(commit.readDone(std::vector<TableRow>(), world.clock.now()));
-    REQUIRE(world.table.apply(write.ops).end == TransactEnd::Committed);
-    const auto wait = std::get<WaitUntil>(commit.writeDone({.end = TransactEnd::Lost}, world.clock.now()));
+    REQUIRE(world.table.apply(write.ops).outcome == TransactOutcome::Committed);
+    const auto wait = std::get<WaitUntil>(commit.writeDone({.outcome = TransactOutcome::Lost}, world.clock.now()));
     const auto resend = std::get<WriteConfig>(commit.resume(wait.until));
     const auto result = world.table.apply(resend.ops);
-    REQUIRE(result.end == TransactEnd::Conflict);
+    REQUIRE(result.outcome == TransactOutcome::Conflict);
     REQUIRE(std::holds_alternative<ReadConfig>(commit.writeDone(result, wait.until)));
     const std::vector<TableRow> rows {world.table.rows.at(ConfigHeadKey), world.table.rows.at(configChangeKey(ChangeId("c")))};
     const auto decision = std::get<CommitDecision>(commit.readDone(rows, wait.until));
@@ -168,9 +168,9 @@
     const auto now = world.clock.now();
     ConfigCommit commit({.change = ChangeId("c"), .expected = Revision(), .author = "", .declarations = "", .digest = "d"}, now + Budget);
     commit.readDone(std::vector<TableRow>(), now);
-    commit.writeDone({.end = TransactEnd::Lost}, now);
+    commit.writeDone({.outcome = TransactOutcome::Lost}, now);
     commit.resume(now);
-    commit.writeDone({.end = TransactEnd::Conflict}, now);
+    commit.writeDone({.outcome = TransactOutcome::Conflict}, now);
     const auto step = commit.readDone(std::nullopt, now + Budget);
     REQUIRE(std::get<CommitDecision>(step).outcome == CommitOutcome::Unknown);
 }
--- a/tests/unit_configtask.cpp
+++ b/tests/unit_configtask.cpp
@@ -48,18 +48,18 @@
     {
         TransactResult result;
         if (down) {
-            result.end = TransactEnd::Refused;
+            result.outcome = TransactOutcome::Refused;
             return result;
         }
         for (const auto &op : ops) {
             const auto row = rows.find(op.key);
             const auto current = row == rows.end() ? RowVersion() : row->second.version;
             if (current != op.expect) {
-                result.end = TransactEnd::Conflict;
+                result.outcome = TransactOutcome::Conflict;
                 result.conflicts.emplace_back(op.key, current);
             }
         }
-        if (result.end == TransactEnd::Conflict) {
+        if (result.outcome == TransactOutcome::Conflict) {
             return result;
         }
         ++transactions;
@@ -67,7 +67,7 @@
         for (const auto &op : ops) {
             rows[op.key] = TableRow {op.key, result.version, op.value};
         }
-        result.end = answersToLose-- > 0 ? TransactEnd::Lost : TransactEnd::Committed;
+        result.outcome = answersToLose-- > 0 ? TransactOutcome::Lost : TransactOutcome::Committed;
         return result;
     }
 };
--- a/tests/unit_declarations.cpp
+++ b/tests/unit_declarations.cpp
@@ -32,9 +32,9 @@
 {
     auto set = smallSet();
     set.artifacts[ArtifactName("austin")].base = ArtifactName("moon@1");
-    set.artifacts[ArtifactName("austin")].place = {"models.ini", 12};
+    set.artifacts[ArtifactName("austin")].location = {"models.ini", 12};
     set.models["sun"].current = ArtifactName("sun@2");
-    set.models["sun"].place = {"models.ini", 3};
+    set.models["sun"].location = {"models.ini", 3};
     const auto findings = checkDeclarations(set);
     REQUIRE(findings.size() == 2);
     REQUIRE(toString(findings[0]) == "models.ini:12: artifact austin: unknown base model 'moon@1'");
--- a/tests/unit_dispatch.cpp
+++ b/tests/unit_dispatch.cpp
@@ -41,7 +41,7 @@
             add("r" + std::to_string(i), "z1");
         }
     }
-    auto add(const std::string &id, const std::string &zone, std::vector<HeldModel> models = {{"m1", 0, {}}}) -> void
+    auto add(const std::string &id, const std::string &zone, std::vector<ResidentModel> models = {{"m1", 0, {}}}) -> void
     {
         TargetDescription target;
         target.incarnation = {TargetId(id), 1};
@@ -320,16 +320,16 @@
     const auto usual = reuse.limit(at(0));
     SECTION("a reset that comes back at once after a long idle time makes the limit short, for a while")
     {
-        REQUIRE(reuse.brokeOff(Duration::seconds(5), Duration::millis(4), at(10)));
+        REQUIRE(reuse.connectionBroke(Duration::seconds(5), Duration::millis(4), at(10)));
         REQUIRE(reuse.limit(at(11)) < Duration::seconds(5));
-        REQUIRE_FALSE(reuse.brokeOff(Duration::seconds(4), Duration::millis(4), at(20)));
+        REQUIRE_FALSE(reuse.connectionBroke(Duration::seconds(4), Duration::millis(4), at(20)));
         REQUIRE(reuse.limit(at(49)) < Duration::seconds(4));
         REQUIRE(reuse.limit(at(51)) == usual);
     }
     SECTION("a run that broke, or a connection just used, says nothing of that")
     {
-        REQUIRE_FALSE(reuse.brokeOff(Duration::seconds(5), Duration::millis(200), at(10)));
-        REQUIRE_FALSE(reuse.brokeOff(Duration::millis(500), Duration::millis(4), at(10)));
+        REQUIRE_FALSE(reuse.connectionBroke(Duration::seconds(5), Duration::millis(200), at(10)));
+        REQUIRE_FALSE(reuse.connectionBroke(Duration::millis(500), Duration::millis(4), at(10)));
         REQUIRE(reuse.limit(at(10)) == usual);
     }
 }
@@ -353,20 +353,20 @@
 TEST_CASE("sends beyond the first keep to a share of the requests and a part of the allowance")
 {
     // Load pattern: half of the targets crash at once and every request would be sent again; the sound ones would get twice their load.
-    SharedRetryBudget budget({.window = Duration::seconds(10), .ratio = 0.2, .allowance = 50, .caution = 1});
-    budget.setEntries(10);
-    REQUIRE(budget.left(at(20)) == Approx(5));
+    SharedRetryBudget budget({.window = Duration::seconds(10), .ratio = 0.2, .allowance = 50, .safetyFactor = 1});
+    budget.setGatewayCount(10);
+    REQUIRE(budget.remaining(at(20)) == Approx(5));
     for (int i = 0; i < 100; ++i) {
-        budget.requested(at(20 + i * 0.05));
+        budget.requestSent(at(20 + i * 0.05));
     }
-    REQUIRE(budget.left(at(25)) <= 25);
+    REQUIRE(budget.remaining(at(25)) <= 25);
     int again = 0;
-    for (; again < 100 && budget.left(at(25)) >= 1; ++again) {
-        budget.sentAgain(at(25));
+    for (; again < 100 && budget.remaining(at(25)) >= 1; ++again) {
+        budget.requestResent(at(25));
     }
     REQUIRE(again >= 5);
     REQUIRE(again <= 25);
-    REQUIRE(budget.left(at(40)) == Approx(5));
+    REQUIRE(budget.remaining(at(40)) == Approx(5));
 }
 
 TEST_CASE("a request that takes down one target after the other is barred after the third, at other entries too")
--- a/tests/unit_logselection.cpp
+++ b/tests/unit_logselection.cpp
@@ -44,8 +44,8 @@
     REQUIRE(lines[1].text == "part=store event=lost table=1");
     REQUIRE(lines[1].host == "a");
     REQUIRE(lines[2].host == "b");
-    REQUIRE_FALSE(lines[2].isAbout);
-    REQUIRE(lines[3].isAbout);
+    REQUIRE_FALSE(lines[2].hasRequestId);
+    REQUIRE(lines[3].hasRequestId);
     REQUIRE(lines[4].text == "part=request event=answered id=q1 status=502");
 }
 
--- a/tests/unit_operator.cpp
+++ b/tests/unit_operator.cpp
@@ -130,7 +130,7 @@
     const auto back = fromProto(toProto(set));
     REQUIRE(back.isValid());
     REQUIRE(isSameSet(back.value, set));
-    REQUIRE(back.value.artifacts.at(ArtifactName("austin")).place == set.artifacts.at(ArtifactName("austin")).place);
+    REQUIRE(back.value.artifacts.at(ArtifactName("austin")).location == set.artifacts.at(ArtifactName("austin")).location);
     REQUIRE(back.value.models.at("sun").versions == set.models.at("sun").versions);
 }
 
--- a/tests/unit_orders.cpp
+++ b/tests/unit_orders.cpp
@@ -424,7 +424,7 @@
     return engine;
 }
 
-auto description(const std::string &id, std::vector<HeldModel> models, std::uint64_t born = 1) -> TargetDescription
+auto description(const std::string &id, std::vector<ResidentModel> models, std::uint64_t born = 1) -> TargetDescription
 {
     TargetDescription target;
     target.incarnation = {TargetId(id), born};
@@ -550,7 +550,7 @@
     {
         m_input.engine = &m_engine;
     }
-    auto add(const std::string &id, const std::vector<HeldModel> &models, double fill = 0) -> PlanBench &
+    auto add(const std::string &id, const std::vector<ResidentModel> &models, double fill = 0) -> PlanBench &
     {
         m_books.push_back(std::make_unique<RunnerBook>(knownBook(description(id, models))));
         m_input.load[TargetId(id)] = fill;
@@ -617,7 +617,7 @@
     // when the move is over.
     PlanBench bench(declaredEngine(2));
     for (int i = 0; i < 6; ++i) {
-        bench.add("r" + std::to_string(i), i == 0 ? std::vector<HeldModel> {{"m2", 0, {}}} : std::vector<HeldModel> {{"m1", 0, {}}});
+        bench.add("r" + std::to_string(i), i == 0 ? std::vector<ResidentModel> {{"m2", 0, {}}} : std::vector<ResidentModel> {{"m1", 0, {}}});
     }
     bench.work("m1", 2, 1).work("m2", 0.2, 3);
     const auto orders = bench.plan();
@@ -972,7 +972,7 @@
     std::vector<RunnerBook> books;
     books.reserve(m_held.size());
     for (const auto &[runner, held] : m_held) {
-        std::vector<HeldModel> models;
+        std::vector<ResidentModel> models;
         for (const auto &model : held) {
             models.push_back({model, 0, {}});
         }
--- a/tests/unit_platform.cpp
+++ b/tests/unit_platform.cpp
@@ -30,8 +30,8 @@
         PlatformOptions options;
         options.server = {"127.0.0.1", server.port()};
         options.timeout = Duration::millis(300);
-        options.backoff.first = Duration::millis(5);
-        options.breaker = {.failuresToOpen = 3, .pause = {.first = Duration::millis(100), .most = Duration::millis(100)}};
+        options.backoff.initial = Duration::millis(5);
+        options.breaker = {.failuresToOpen = 3, .pause = {.initial = Duration::millis(100), .max = Duration::millis(100)}};
         return options;
     }
     auto always(int status, const std::string &body, const HttpHeaders &headers = {}) -> void
@@ -73,13 +73,13 @@
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
     platform.always(200, R"({"committed":true,"version":17})");
     const auto committed = platform.transact(*table);
-    REQUIRE(committed.end == TransactEnd::Committed);
+    REQUIRE(committed.outcome == TransactOutcome::Committed);
     REQUIRE(committed.version == RowVersion(17));
     REQUIRE(platform.requests.at(0) == R"(POST /table/transact {"id":"w1","ops":[{"expect":3,"key":"k","op":"put","value":"v"}]})");
 
     platform.always(409, R"({"committed":false,"conflicts":[{"key":"k","version":9}]})");
     const auto conflict = platform.transact(*table);
-    REQUIRE(conflict.end == TransactEnd::Conflict);
+    REQUIRE(conflict.outcome == TransactOutcome::Conflict);
     REQUIRE(conflict.conflicts.at(0).second == RowVersion(9));
 }
 
@@ -91,24 +91,24 @@
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
     platform.always(429, R"({"code":"throttled","retryAfterMs":10})");
     auto result = platform.transact(*table);
-    REQUIRE(result.end == TransactEnd::Refused);
+    REQUIRE(result.outcome == TransactOutcome::Refused);
     REQUIRE(result.throttled);
 
     platform.always(503, "");
     result = platform.transact(*table);
-    REQUIRE(result.end == TransactEnd::Refused);
+    REQUIRE(result.outcome == TransactOutcome::Refused);
     REQUIRE_FALSE(result.throttled);
 
     platform.answer = [](const Exchange &exchange) {
         exchange->abort();
     };
-    REQUIRE(platform.transact(*table).end == TransactEnd::Lost);
+    REQUIRE(platform.transact(*table).outcome == TransactOutcome::Lost);
 
     std::vector<Exchange> held;
     platform.answer = [&](const Exchange &exchange) {
         held.push_back(exchange);
     };
-    REQUIRE(platform.transact(*table).end == TransactEnd::Lost);
+    REQUIRE(platform.transact(*table).outcome == TransactOutcome::Lost);
 }
 
 TEST_CASE("an answer that makes no sense counts as lost")
@@ -117,10 +117,10 @@
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
     for (const auto *body : {"", "not json", "[]", R"({"committed":false})", R"({"committed":"yes"})"}) {
         platform.always(200, body);
-        REQUIRE(platform.transact(*table).end == TransactEnd::Lost);
+        REQUIRE(platform.transact(*table).outcome == TransactOutcome::Lost);
     }
     platform.always(500, "");
-    REQUIRE(platform.transact(*table).end == TransactEnd::Lost);
+    REQUIRE(platform.transact(*table).outcome == TransactOutcome::Lost);
 }
 
 TEST_CASE("a transaction to nobody is certainly not done")
@@ -129,7 +129,7 @@
     auto options = platform.options();
     options.server.port = 1;
     const auto table = makeTableClient(platform.loop, platform.client, options);
-    REQUIRE(platform.transact(*table).end == TransactEnd::Refused);
+    REQUIRE(platform.transact(*table).outcome == TransactOutcome::Refused);
 }
 
 TEST_CASE("a read is tried again until it is answered, or its deadline has passed")
@@ -179,18 +179,18 @@
         exchange->abort();
     };
     for (int i = 0; i < 3; ++i) {
-        REQUIRE(platform.transact(*table).end == TransactEnd::Lost);
+        REQUIRE(platform.transact(*table).outcome == TransactOutcome::Lost);
     }
     REQUIRE_FALSE(table->isReachable());
-    REQUIRE(platform.transact(*table).end == TransactEnd::Refused);
+    REQUIRE(platform.transact(*table).outcome == TransactOutcome::Refused);
     REQUIRE(platform.requests.size() == 3);
 
     platform.always(200, R"({"committed":true,"version":1})");
     auto result = platform.transact(*table);
-    while (result.end == TransactEnd::Refused) {
+    while (result.outcome == TransactOutcome::Refused) {
         result = platform.transact(*table);
     }
-    REQUIRE(result.end == TransactEnd::Committed);
+    REQUIRE(result.outcome == TransactOutcome::Committed);
     REQUIRE(table->isReachable());
 }
 
@@ -216,12 +216,12 @@
     platform.answer = [&](const Exchange &exchange) {
         held.push_back(exchange);
     };
-    std::map<TransactEnd, int> ends;
+    std::map<TransactOutcome, int> ends;
     for (int i = 0; i < 5; ++i) {
-        table->transact(WriteId("w"), {}, [&](const TransactResult &result) { ++ends[result.end]; });
+        table->transact(WriteId("w"), {}, [&](const TransactResult &result) { ++ends[result.outcome]; });
     }
-    REQUIRE(platform.loop.runUntil([&] { return ends[TransactEnd::Refused] == 3 && held.size() == 2; }, Limit));
-    REQUIRE(platform.loop.runUntil([&] { return ends[TransactEnd::Lost] == 2; }, Limit));
+    REQUIRE(platform.loop.runUntil([&] { return ends[TransactOutcome::Refused] == 3 && held.size() == 2; }, Limit));
+    REQUIRE(platform.loop.runUntil([&] { return ends[TransactOutcome::Lost] == 2; }, Limit));
 }
 
 TEST_CASE("objects are put on a condition and read with their tag")
--- a/tests/unit_routing.cpp
+++ b/tests/unit_routing.cpp
@@ -318,7 +318,7 @@
 
 TEST_CASE("a concurrency limit shrinks when the engine slows down and grows back")
 {
-    ConcurrencyLimit limit({.least = 4, .most = 64, .first = 48, .stepGoal = Duration::millis(30)});
+    ConcurrencyLimit limit({.min = 4, .max = 64, .initial = 48, .maxStepTime = Duration::millis(30)});
     for (int i = 0; i < 100; ++i) {
         limit.observeStep(Duration::millis(40), limit.limit());
     }
@@ -336,7 +336,7 @@
 
 TEST_CASE("a limit that isn't used doesn't grow")
 {
-    ConcurrencyLimit limit({.first = 16});
+    ConcurrencyLimit limit({.initial = 16});
     for (int i = 0; i < 1000; ++i) {
         limit.observeService(Duration::millis(100), 2);
     }
--- a/tests/unit_runonce.cpp
+++ b/tests/unit_runonce.cpp
@@ -256,7 +256,7 @@
     auto &runOnce = *world.agents[0]->runOnce;
     const auto now = world.clock.now();
     const auto write = std::get<WriteClaims>(runOnce.arrive({SendId(1), {ServiceName("s"), RequestKey("k")}, now + Budget, 0}, now).at(0));
-    const auto forward = runOnce.transactDone(write.batch, {.end = TransactEnd::Committed, .version = RowVersion(1)}, now);
+    const auto forward = runOnce.transactDone(write.batch, {.outcome = TransactOutcome::Committed, .version = RowVersion(1)}, now);
     REQUIRE(std::get<ForwardSend>(forward.at(0)).send == SendId(1));
     runOnce.runEnded(SendId(1), RunEnd::Answered, {.status = 200, .headers = {}, .body = std::string(1U << 20U, 'x')}, now);
     const auto duplicate = runOnce.arrive({SendId(2), {ServiceName("s"), RequestKey("k")}, now + Budget, 0}, now);
--- a/tests/unit_settings.cpp
+++ b/tests/unit_settings.cpp
@@ -28,7 +28,7 @@
 {
     std::vector<int> numbers;
     for (const auto &finding : findings) {
-        numbers.push_back(finding.place.line);
+        numbers.push_back(finding.location.line);
     }
     return numbers;
 }
--- a/tests/unit_sharedusage.cpp
+++ b/tests/unit_sharedusage.cpp
@@ -29,7 +29,7 @@
 {
     ClientAccount account;
     account.name = AccountName("hot");
-    account.limit = {.unit = UsageUnit::Tokens, .perSecond = rate, .burst = burst, .plainRequest = 200};
+    account.limit = {.unit = UsageUnit::Tokens, .perSecond = rate, .burst = burst, .defaultTokens = 200};
     return {account};
 }
 
@@ -81,29 +81,29 @@
         for (int tick = 0; tick < ticks; ++tick) {
             const double now = from + tick * Tick;
             for (int i = tokensPerSecond > 0 ? small(m_random) : 0; i > 0; --i) {
-                ask(now, Small);
+                sendRequest(now, Small);
             }
             for (int i = tokensPerSecond > 0 ? large(m_random) : 0; i > 0; --i) {
-                ask(now, Large);
+                sendRequest(now, Large);
             }
-            exchange(now);
+            exchangeReports(now);
         }
     }
     auto pause(int gateway, double until) -> void
     {
         m_gateways.at(static_cast<std::size_t>(gateway)).pausedUntil = until;
     }
-    auto cut(int gateway, bool isCut) -> void
+    auto setPartitioned(int gateway, bool isPartitioned) -> void
     {
-        m_gateways.at(static_cast<std::size_t>(gateway)).isCut = isCut;
+        m_gateways.at(static_cast<std::size_t>(gateway)).isPartitioned = isPartitioned;
     }
     /// The most that ran in any window.
-    auto mostInWindow() const -> double
+    auto maxInWindow() const -> double
     {
         double sum = 0;
         double most = 0;
         std::deque<std::pair<double, double>> window;
-        for (const auto &run : m_runs) {
+        for (const auto &run : m_admitted) {
             window.push_back(run);
             sum += run.second;
             while (window.front().first <= run.first - WindowSeconds) {
@@ -118,10 +118,10 @@
     {
         return (m_options.rate * WindowSeconds + m_options.burst) * (1 + Overshoot) + Slack;
     }
-    auto ran(double from, double to) const -> double
+    auto tokensAdmitted(double from, double to) const -> double
     {
         double sum = 0;
-        for (const auto &[time, tokens] : m_runs) {
+        for (const auto &[time, tokens] : m_admitted) {
             sum += time >= from && time < to ? tokens : 0;
         }
         return sum;
@@ -137,25 +137,25 @@
         EntryId start;
         double pausedUntil = 0;
         double reportedAt = -100;
-        bool isCut = false; ///< neither sends reports nor receives any
+        bool isPartitioned = false; ///< neither sends reports nor receives any
     };
     static auto name(int gateway) -> std::string
     {
         return "gw-" + std::to_string(gateway);
     }
-    auto ask(double now, double tokens) -> void
+    auto sendRequest(double now, double tokens) -> void
     {
         auto &gateway = m_gateways[m_random() % m_gateways.size()];
         if (now < gateway.pausedUntil) {
             return;
         }
         if (gateway.usage->admit(AccountName("hot"), tokens, at(now)).isAdmitted) {
-            m_runs.emplace_back(now, tokens);
+            m_admitted.emplace_back(now, tokens);
         } else {
             ++m_rejected;
         }
     }
-    auto exchange(double now) -> void
+    auto exchangeReports(double now) -> void
     {
         for (std::size_t i = 0; i < m_gateways.size(); ++i) {
             auto &gateway = m_gateways[i];
@@ -167,7 +167,7 @@
             gateway.reportedAt = now;
             UsageReport report {name(static_cast<int>(i)), gateway.start, gateway.usage->isSettled(at(now)), gateway.usage->takeReport(at(now))};
             for (std::size_t other = 0; other < m_gateways.size(); ++other) {
-                const bool isConnected = !gateway.isCut && !m_gateways[other].isCut && now >= m_gateways[other].pausedUntil;
+                const bool isConnected = !gateway.isPartitioned && !m_gateways[other].isPartitioned && now >= m_gateways[other].pausedUntil;
                 if (other != i && isConnected) {
                     m_gateways[other].usage->merge(report, at(now));
                 }
@@ -177,7 +177,7 @@
 
     FleetOptions m_options;
     std::vector<Gateway> m_gateways;
-    std::vector<std::pair<double, double>> m_runs; ///< when, tokens
+    std::vector<std::pair<double, double>> m_admitted; ///< when, tokens
     std::mt19937 m_random {11};
     int m_starts = 0;
     int m_rejected = 0;
@@ -198,9 +198,9 @@
     for (const int gateways : {3, 24, 100}) {
         UsageFleet fleet({.gateways = gateways, .reportSeconds = std::max(0.2, gateways * 0.008), .urgentReportSeconds = gateways * 0.00025});
         fleet.step(0, 20, Rate * 4);
-        INFO(gateways << " gateways: " << fleet.mostInWindow() << " of " << fleet.limit());
-        CHECK(fleet.mostInWindow() <= fleet.limit());
-        CHECK(fleet.ran(4, 20) >= 0.9 * 16 * Rate);
+        INFO(gateways << " gateways: " << fleet.maxInWindow() << " of " << fleet.limit());
+        CHECK(fleet.maxInWindow() <= fleet.limit());
+        CHECK(fleet.tokensAdmitted(4, 20) >= 0.9 * 16 * Rate);
     }
 }
 
@@ -208,8 +208,8 @@
 {
     UsageFleet fleet({.rate = 29000, .burst = 29000});
     fleet.step(0, 20, 29000 * 4);
-    CHECK(fleet.mostInWindow() <= fleet.limit());
-    CHECK(fleet.ran(4, 20) >= 0.85 * 16 * 29000);
+    CHECK(fleet.maxInWindow() <= fleet.limit());
+    CHECK(fleet.tokensAdmitted(4, 20) >= 0.85 * 16 * 29000);
 }
 
 TEST_CASE("gateways that are cut off from the others keep to their share of the limit")
@@ -218,16 +218,16 @@
     UsageFleet fleet({});
     fleet.step(0, 3, Rate * 0.5);
     for (int gateway = 0; gateway < 8; ++gateway) {
-        fleet.cut(gateway, true);
+        fleet.setPartitioned(gateway, true);
     }
     fleet.step(3, 18, Rate * 4);
     for (int gateway = 0; gateway < 8; ++gateway) {
-        fleet.cut(gateway, false);
+        fleet.setPartitioned(gateway, false);
     }
     fleet.step(18, 26, Rate * 4);
-    INFO(fleet.mostInWindow() << " of " << fleet.limit());
-    CHECK(fleet.mostInWindow() <= fleet.limit());
-    CHECK(fleet.ran(20, 26) >= 0.8 * 6 * Rate);
+    INFO(fleet.maxInWindow() << " of " << fleet.limit());
+    CHECK(fleet.maxInWindow() <= fleet.limit());
+    CHECK(fleet.tokensAdmitted(20, 26) >= 0.8 * 6 * Rate);
 }
 
 TEST_CASE("gateways that were paused don't spend what the others have used meanwhile")
@@ -239,8 +239,8 @@
         fleet.pause(gateway, 8);
     }
     fleet.step(3, 20, Rate * 4);
-    INFO(fleet.mostInWindow() << " of " << fleet.limit());
-    CHECK(fleet.mostInWindow() <= fleet.limit());
+    INFO(fleet.maxInWindow() << " of " << fleet.limit());
+    CHECK(fleet.maxInWindow() <= fleet.limit());
 }
 
 TEST_CASE("gateways that start again one after the other, or all at once, don't start with full accounts")
@@ -256,9 +256,9 @@
         }
     }
     fleet.step(isRolling ? 15.6 : 6, 24, Rate * 4);
-    INFO(fleet.mostInWindow() << " of " << fleet.limit());
-    CHECK(fleet.mostInWindow() <= fleet.limit());
-    CHECK(fleet.ran(17, 24) >= 0.85 * 7 * Rate);
+    INFO(fleet.maxInWindow() << " of " << fleet.limit());
+    CHECK(fleet.maxInWindow() <= fleet.limit());
+    CHECK(fleet.tokensAdmitted(17, 24) >= 0.85 * 7 * Rate);
 }
 
 TEST_CASE("a gateway that joins learns what is left of an account before it admits a burst of its own")
