--- a/src/core/accounts.cpp
+++ b/src/core/accounts.cpp
@@ -29,7 +29,7 @@
     return text;
 }
 
-/// Schemes are compared in any case (RFC 9110).
+/// Authentication schemes are case-insensitive (RFC 9110).
 auto isScheme(std::string_view text) -> bool
 {
     return text.size() == Scheme.size()
--- a/src/core/accounts.h
+++ b/src/core/accounts.h
@@ -1,10 +1,10 @@
 // Client accounts: who may call, with which keys, and how much. Pure.
 //
-// Keys are kept and looked up by digest only: a key that a caller presents stays in its request, and no log, metric or message can show it.
+// Keys are stored and looked up by digest only. The key itself exists only in the request, so no log, metric or message can leak it.
 //
 // Index of sections (search for [SECTION]):
-//   Keys          digests, and how a request presents a key
-//   Account       what is declared
+//   Keys          digests, and parsing of the Authorization header
+//   Account       one declared account and its usage limit
 //   AccountTable  all accounts of one version of the declarations
 #pragma once
 
@@ -37,28 +37,28 @@
 
 auto digestOf(std::string_view key) -> KeyDigest;
 
-/// The key in the value of an Authorization header, "Bearer KEY" (RFC 6750). Nothing if it has another form.
+/// The key in the value of an Authorization header, "Bearer KEY" (RFC 6750). Empty if the value has another form.
 auto bearerKey(std::string_view authorization) -> std::optional<std::string_view>;
 
 // [SECTION] Account
 
 enum class UsageUnit {
     Requests, ///< each request counts as one
-    Tokens, ///< a request counts as its prompt tokens and the most that it may generate
+    Tokens, ///< a request counts as its prompt tokens plus the maximum that it may generate
 };
 
-/// What one account may use, over all gateways together.
+/// What one account may use, summed over all gateways.
 struct UsageLimit {
     UsageUnit unit = UsageUnit::Requests;
-    double perSecond = 0; ///< 0: not limited
-    double burst = 0; ///< beyond the rate
+    double perSecond = 0; ///< sustained rate; 0: not limited
+    double burst = 0; ///< capacity of the token bucket
     double defaultTokens = 1; ///< counted for a request that doesn't say how many tokens it uses
 
     auto isLimited() const -> bool
     {
         return perSecond > 0;
     }
-    /// Of a request with so many tokens; 0: it doesn't say.
+    /// The cost of a request. `tokens` is 0 if the request doesn't say how many it uses.
     auto costOf(std::int64_t tokens) const -> double;
 
     auto operator==(const UsageLimit &) const -> bool = default;
@@ -67,7 +67,7 @@
 struct ClientAccount {
     AccountName name;
     std::vector<KeyDigest> keys;
-    std::optional<int> priority; ///< replaces that of the route
+    std::optional<int> priority; ///< replaces the route's priority
     UsageLimit limit;
 };
 
@@ -77,14 +77,14 @@
 {
 public:
     AccountTable() = default;
-    /// A key that two accounts have belongs to the first.
+    /// If two accounts declare the same key, it belongs to the first one.
     explicit AccountTable(std::vector<ClientAccount> accounts);
 
     auto accounts() const -> const std::vector<ClientAccount> &;
-    auto find(const KeyDigest &key) const -> const ClientAccount *; ///< null: no account has this key
+    auto find(const KeyDigest &key) const -> const ClientAccount *; ///< null if no account has this key
 
 private:
-    /// Digests are uniform: their first bytes make a hash.
+    /// Digests are uniformly distributed, so their first bytes serve as the hash.
     struct DigestHash {
         auto operator()(const KeyDigest &digest) const noexcept -> std::size_t;
     };
--- a/src/core/backoff.cpp
+++ b/src/core/backoff.cpp
@@ -18,8 +18,8 @@
 
 auto Backoff::next(std::minstd_rand &random) -> Duration
 {
-    constexpr double LeastShare = 0.5;
-    std::uniform_real_distribution<double> jitter(LeastShare, 1.0);
+    constexpr double MinJitter = 0.5;
+    std::uniform_real_distribution<double> jitter(MinJitter, 1.0);
     const Duration delay = m_current * jitter(random);
     m_current = std::min(m_current * m_options.factor, m_options.max);
     return delay;
--- a/src/core/backoff.h
+++ b/src/core/backoff.h
@@ -1,5 +1,5 @@
-// How long to wait before the next try: exponential, with jitter, so that many clients of one server that came back don't return in
-// the same instant. Pure.
+// Exponential backoff with jitter: the delay before the next try. Jitter keeps the many clients of a server that has come back from retrying
+// at the same instant. Pure.
 #pragma once
 
 #include "core/units.h"
@@ -10,9 +10,9 @@
 {
 
 struct BackoffOptions {
-    Duration initial = Duration::millis(100);
-    Duration max = Duration::seconds(3);
-    double factor = 2.0;
+    Duration initial = Duration::millis(100); ///< first delay, before jitter
+    Duration max = Duration::seconds(3); ///< upper bound of the delay
+    double factor = 2.0; ///< growth of the delay from one try to the next
 };
 
 class Backoff
@@ -21,9 +21,9 @@
     explicit Backoff(BackoffOptions options = {});
 
     auto current() const -> Duration; ///< the next delay before jitter
-    /// Half to the whole of the current delay; the one after it is longer.
+    /// Returns a random delay between half and the whole of the current one, then lengthens the current one up to `max`.
     auto next(std::minstd_rand &random) -> Duration;
-    /// After a success.
+    /// Call after a success: starts again with the initial delay.
     auto reset() -> void;
 
 private:
--- a/src/core/commitqueue.cpp
+++ b/src/core/commitqueue.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-constexpr double MaxBurstSeconds = 0.2; ///< of the rate, that may go out at once
-constexpr double ThrottledRateFactor = 0.5; ///< of the rate, when throttled
-constexpr auto ThrottlePeriod = Duration::millis(500); ///< answers of one burst count as one throttling
-constexpr double GrowthPerWrite = 0.05; ///< writes a second gained by each row committed
-constexpr double Smoothing = 0.2; ///< weight of the newest transaction time
+constexpr double MaxBurstSeconds = 0.2; ///< capacity of the token bucket, in seconds of the rate
+constexpr double ThrottledRateFactor = 0.5; ///< applied to the rate when the platform throttles
+constexpr auto ThrottlePeriod = Duration::millis(500); ///< throttled answers within this time count once, since one burst of writes causes several
+constexpr double GrowthPerWrite = 0.05; ///< writes per second gained by each committed row
+constexpr double Smoothing = 0.2; ///< weight of the newest transaction in the moving average
 
 auto keysOf(const std::vector<TableOp> &ops) -> std::vector<std::string>
 {
@@ -59,7 +59,7 @@
     if (m_tokens >= tokens) {
         return m_refilledAt;
     }
-    // One microsecond more, so that rounding doesn't wake the owner just before the token is there.
+    // One microsecond more, so that rounding doesn't wake the owner just before the token is available.
     return m_refilledAt + Duration::seconds((tokens - m_tokens) / m_rate) + Duration::micros(1);
 }
 
@@ -76,7 +76,7 @@
         const auto due = std::max(gathered, write.notBefore);
         earliest = earliest ? std::min(*earliest, due) : due;
     }
-    // Out of budget, one row would go out whenever a token comes: wait for as many as the longest window brings.
+    // With the budget used up, a transaction of one row would be sent for each new token. Wait for as many tokens as the longest window brings.
     const double gathered = std::min(static_cast<double>(m_pending.size()), m_rate * m_settings.maxWindow.inSeconds());
     return std::max(*earliest, timeWithTokens(std::max(1.0, gathered)));
 }
@@ -91,7 +91,7 @@
     enqueue({std::move(op), urgency, now, now}, now);
 }
 
-// First before Later: a claim that a caller waits for goes before the record of an answer that is with its caller already.
+// Foreground writes go before Background ones: a claim that a caller waits for before the record of an answer that the caller already has.
 auto CommitQueue::enqueue(PendingWrite write, TimePoint notBefore) -> void
 {
     write.notBefore = notBefore;
@@ -156,7 +156,8 @@
     }
 }
 
-// One row's conflict undoes the whole transaction; the other rows go out again without it.
+// A conflict on one row fails the whole transaction; the other rows are sent again without it. If the result names none of the rows, all count as
+// conflicted.
 auto CommitQueue::settleConflict(const SentBatch &sent, const TransactResult &result, TimePoint now, CommitResult &settled) -> void
 {
     const bool isAnyNamed = std::any_of(sent.writes.begin(), sent.writes.end(), [&](const PendingWrite &write) { return hasConflict(result, write.op.key); });
--- a/src/core/commitqueue.h
+++ b/src/core/commitqueue.h
@@ -1,9 +1,9 @@
-// Group commit: row writes that wait are gathered into transactions. Pure.
+// Group commit: batches pending row writes into transactions. Pure.
 //
-// While no transaction is under way a write goes out at once; while some are, writes gather for a window that follows the time that
-// transactions take. The write budget is a token bucket: the platform counts rows, not transactions. Its rate is halved when the platform
-// throttles and grows back with success, so that agents that know nothing of each other share one budget.
-// A write that was refused or lost stays in the queue, unchanged, until it is settled or removed.
+// While no transaction is in flight, a write is sent at once. Otherwise writes are collected for a window whose length follows the duration of
+// transactions. The write budget is a token bucket that counts rows, as the platform does, not transactions. Its rate is halved when the platform
+// throttles and grows again with each committed row, so that agents which know nothing of each other share the platform's limit.
+// A write that was refused or lost stays in the queue, unchanged, until it is committed, meets a conflict or is removed.
 #pragma once
 
 #include "core/ids.h"
@@ -20,27 +20,27 @@
 {
 
 struct CommitSettings {
-    double writesPerSecond = 100;
+    double writesPerSecond = 100; ///< initial rate
     double minWritesPerSecond = 2;
     double maxWritesPerSecond = 300;
-    std::size_t batchesInFlight = 4;
+    std::size_t batchesInFlight = 4; ///< at most
     Duration minWindow = Duration::millis(1);
     Duration maxWindow = Duration::millis(50);
-    Duration retryDelay = Duration::millis(50); ///< before a refused or lost write goes out again
+    Duration retryDelay = Duration::millis(50); ///< before a refused or lost write is sent again
 };
 
 enum class CommitUrgency {
-    First, ///< somebody waits for it
-    Later, ///< nobody does
+    Foreground, ///< a caller waits for the write; sent first
+    Background, ///< no caller waits for the write
 };
 
-/// What became of a transaction's rows. Those lost, refused or beside a conflict stay in the queue.
+/// The outcome of a transaction, as keys of its rows. Those in `lost`, `unavailable` and `notApplied` stay in the queue.
 struct CommitResult {
     std::vector<std::string> committed;
-    std::vector<std::string> conflicted; ///< left the queue: the row has another version
-    std::vector<std::string> lost; ///< may have taken effect
-    std::vector<std::string> unavailable; ///< certainly without effect, and the store can't be reached
-    std::vector<std::string> notApplied; ///< certainly without effect, to be tried again
+    std::vector<std::string> conflicted; ///< removed from the queue: the row has another version
+    std::vector<std::string> lost; ///< no answer: may have taken effect
+    std::vector<std::string> unavailable; ///< certainly without effect: the store can't be reached
+    std::vector<std::string> notApplied; ///< certainly without effect: throttled, or another row of the transaction had a conflict
 };
 
 class CommitQueue
@@ -57,16 +57,16 @@
 
     // Queries
 
-    auto size() const -> std::size_t; ///< waiting, not in a transaction
+    auto size() const -> std::size_t; ///< pending writes, without those in a transaction
     auto writesPerSecond() const -> double;
-    auto window() const -> Duration; ///< for which writes gather now
-    auto nextWake() const -> std::optional<TimePoint>;
+    auto window() const -> Duration; ///< how long writes are collected now, while a transaction is in flight
+    auto nextWake() const -> std::optional<TimePoint>; ///< when to call nextBatch(); empty if nothing can be sent before a call of add() or done()
 
     // Commands
 
     /// At most one write per row at a time.
     auto add(TableOp op, CommitUrgency urgency, TimePoint now) -> void;
-    /// Takes back a write that isn't in a transaction.
+    /// Drops a pending write. One that is in a transaction isn't affected.
     auto remove(const std::string &key) -> void;
     /// The next transaction to send, if one is due.
     auto nextBatch(TimePoint now) -> std::optional<Batch>;
@@ -76,32 +76,32 @@
     struct PendingWrite {
         TableOp op;
         CommitUrgency urgency = CommitUrgency::Foreground;
-        TimePoint since;
-        TimePoint notBefore;
+        TimePoint since; ///< when it was added
+        TimePoint notBefore; ///< earliest time to send it
     };
     struct SentBatch {
         std::vector<PendingWrite> writes;
-        TimePoint at;
+        TimePoint at; ///< when it was sent
     };
 
     auto refill(TimePoint now) -> void;
     auto dueAt() const -> std::optional<TimePoint>;
-    auto timeWithTokens(double tokens) const -> TimePoint;
+    auto timeWithTokens(double tokens) const -> TimePoint; ///< when the bucket holds that many
     auto adapt(const TransactResult &result, const SentBatch &sent, TimePoint now) -> void;
     auto enqueue(PendingWrite write, TimePoint notBefore) -> void;
     auto settleConflict(const SentBatch &sent, const TransactResult &result, TimePoint now, CommitResult &settled) -> void;
 
     CommitSettings m_settings;
-    /// First before Later, older before newer. Only as many as one transaction holds are looked at, from the front: a queue that has grown
-    /// long in an outage must not cost more with every event. What waits behind writes that are to be retried waits that little longer.
+    /// Foreground before Background, older before newer. Only the first MaxTransactionOps are examined, so that a queue that has grown long in an
+    /// outage doesn't make every event more expensive. Writes that wait for their retry may therefore delay the ones behind them a little.
     std::deque<PendingWrite> m_pending;
     std::map<BatchId, SentBatch> m_inFlight;
-    std::uint64_t m_batches = 0;
-    double m_rate;
-    double m_tokens;
+    std::uint64_t m_batches = 0; ///< number of the last batch
+    double m_rate; ///< rows per second
+    double m_tokens; ///< rows that may be sent now
     TimePoint m_refilledAt;
-    std::optional<TimePoint> m_throttledAt;
-    Duration m_transactTime; ///< smoothed
+    std::optional<TimePoint> m_throttledAt; ///< last time the rate was halved
+    Duration m_transactTime; ///< moving average of the duration of committed transactions
 };
 
 } // namespace KingCup
--- a/src/core/concurrencylimit.cpp
+++ b/src/core/concurrencylimit.cpp
@@ -9,11 +9,11 @@
 namespace
 {
 
-constexpr double RecentWeight = 0.1; ///< weight of one observation in the recent mean
-constexpr double BaselineDrift = 1.001; ///< per observation: a baseline that was too low is forgotten after some thousands
-constexpr double MinUtilization = 0.8; ///< a limit that isn't used to this share tells nothing, so it doesn't grow
-constexpr double GentleShrink = 0.98;
-constexpr double HardShrink = 0.8;
+constexpr double RecentWeight = 0.1; ///< weight of one observation in the moving average of the service time
+constexpr double BaselineDrift = 1.001; ///< rise of the baseline per observation: one that was too low is corrected after a few thousand
+constexpr double MinUtilization = 0.8; ///< the limit grows only if at least this share of it is in use; otherwise the service time says nothing about it
+constexpr double GentleShrink = 0.98; ///< factor for each observation of a slow target
+constexpr double HardShrink = 0.8; ///< factor for each overload
 
 } // namespace
 
--- a/src/core/concurrencylimit.h
+++ b/src/core/concurrencylimit.h
@@ -1,5 +1,5 @@
-// How many requests a target may run at once, learnt from what it does: grows while answers stay as quick as an unloaded target's,
-// shrinks when they slow down, so that waiting happens in our queue, where order and deadlines count, and not in the engine.
+// Adaptive limit on the requests in flight to one target. It grows while service times stay close to those of an unloaded target and shrinks
+// when they rise. Excess requests then wait in our own queue, which respects priority and deadlines, instead of in the engine's queue.
 #pragma once
 
 #include "core/units.h"
@@ -10,9 +10,9 @@
 struct ConcurrencyLimitOptions {
     int min = 4;
     int max = 64; ///< streams that an engine batches
-    int initial = 32; ///< what an engine does at 34 ms a step; a lower start makes placement see runners as full that aren't
-    Duration maxStepTime = Duration::millis(34); ///< between tokens; the limit shrinks while the engine is slower
-    double tolerance = 2.0; ///< service time may rise to this many times the unloaded one
+    int initial = 32; ///< what an engine runs at 34 ms per step; with a lower start, placement takes runners for full that aren't
+    Duration maxStepTime = Duration::millis(34); ///< time between tokens; the limit shrinks while the engine takes longer
+    double tolerance = 2.0; ///< the limit shrinks when the service time exceeds this multiple of the unloaded one
 };
 
 class ConcurrencyLimit
@@ -22,11 +22,11 @@
 
     auto limit() const -> int;
 
-    /// A request ended: its time at the target, and how many ran when it started.
+    /// A request ended: the time it took at the target, and how many requests were running there when it started.
     auto observeService(Duration serviceTime, int running) -> void;
-    /// The engine's time between tokens, from its load figures.
+    /// The engine's time between tokens, from its load report.
     auto observeStep(Duration step, int running) -> void;
-    /// The engine refused for load, or the request timed out there.
+    /// The engine refused a request because of load, or a request timed out there.
     auto observeOverload() -> void;
 
 private:
@@ -35,8 +35,8 @@
 
     ConcurrencyLimitOptions m_options;
     double m_limit;
-    double m_unloadedMicros = 0; ///< slowly rising minimum of the service time
-    double m_recentMicros = 0;
+    double m_unloadedMicros = 0; ///< baseline: minimum of the recent mean, drifting slowly upwards
+    double m_recentMicros = 0; ///< moving average of the service time
 };
 
 } // namespace KingCup
--- a/src/core/configlog.cpp
+++ b/src/core/configlog.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t RevisionDigits = 20; ///< of the largest 64-bit number
+constexpr std::size_t RevisionDigits = 20; ///< length of the largest 64-bit number
 constexpr auto RetryDelay = Duration::millis(100);
 
 auto findRow(const std::vector<TableRow> &rows, const std::string &key) -> const TableRow *
@@ -162,12 +162,12 @@
         return CommitDecision {CommitOutcome::Accepted, m_proposal.expected.next()};
     }
     if (result.outcome == TransactOutcome::Conflict) {
-        // The head has moved, and versions are never used again: whatever was sent before has taken effect or never will. Which of the
-        // two it is, the next read tells.
+        // The head has changed, and row versions are never reused, so a transaction sent earlier has taken effect or never will. The next read
+        // shows which.
         m_resend = false;
         return read();
     }
-    // Once an answer was lost, a refusal of the copy says nothing about the first.
+    // If the answer to the first transaction was lost, a refusal of its copy says nothing about the first.
     m_resend = m_resend || result.outcome == TransactOutcome::Lost;
     m_uncertain = m_uncertain || m_resend;
     return retryLater(now);
@@ -178,8 +178,8 @@
     if (now >= m_deadline) {
         return giveUp();
     }
-    // Reading "absent" after a lost answer would not prove that the write never takes effect. Sending the same again does: it
-    // commits, or meets a head that the first, too, must now fail on.
+    // Finding the change's row absent after a lost answer would not prove that the write never takes effect. Sending the same transaction again
+    // settles it: it commits, or it conflicts with a head on which the first one must now fail too.
     if (m_resend) {
         return WriteConfig {m_ops};
     }
--- a/src/core/configlog.h
+++ b/src/core/configlog.h
@@ -1,14 +1,15 @@
-// The configuration log: one operator's change becomes the next revision, or gets the reason why not. Pure: results in, requests out.
+// The configuration log: commits an operator's change as the next revision, or reports why it wasn't committed. Pure: a state machine that takes
+// the store's results and returns the next request.
 //
-// Rows: `config/head` holds the revision in force, `config/log/<revision>` each accepted change, `config/change/<change id>` the revision
-// that a change became. One transaction writes all three, expecting the head's version and the other two absent, so of racing
-// operators one wins. Whether a change whose answer was lost took effect is known from its change id, never guessed: the same transaction
-// is sent again, and either commits, or its conflict proves that the first one took effect or never will.
+// Rows: `config/head` holds the revision in force, `config/log/<revision>` each accepted change, and `config/change/<change id>` the revision that
+// a change became. One transaction writes all three. It expects the head's version as read and the other two rows to be absent, so that only one of
+// several concurrent operators succeeds. If the answer to a transaction is lost, the same transaction is sent again. Either it commits, or its
+// conflict proves that the first one took effect or never will; the row of the change id tells which.
 //
 // Index of sections (search for [SECTION]):
 //   Rows       keys and values
 //   Commit     ConfigCommit, the state machine of one change
-//   Adoption   what a process puts in force
+//   Adoption   which revisions a process puts in force
 #pragma once
 
 #include "core/ids.h"
@@ -29,13 +30,13 @@
 constexpr auto ConfigLogPrefix = "config/log/";
 constexpr auto ConfigChangePrefix = "config/change/";
 
-auto configLogKey(Revision revision) -> std::string; ///< zero-padded, so that a scan gives them in order
+auto configLogKey(Revision revision) -> std::string; ///< zero-padded, so that a scan returns the rows in order of revision
 auto configChangeKey(const ChangeId &change) -> std::string;
 
 struct ConfigHead {
     Revision revision;
     ChangeId change;
-    std::string digest; ///< of the declarations, to tell an unchanged set
+    std::string digest; ///< of the declarations; an equal digest means an unchanged set
 
     auto operator==(const ConfigHead &) const -> bool = default;
 };
@@ -45,7 +46,7 @@
     Revision revision;
     ChangeId change;
     std::string author;
-    std::string declarations; ///< the whole set as text, or a reference to the object that holds it; opaque here
+    std::string declarations; ///< the whole set as text, or a reference to the object that holds it; not interpreted here
 };
 
 auto serializeConfigHead(const ConfigHead &head) -> std::string;
@@ -58,19 +59,19 @@
 // [SECTION] Commit
 
 struct ConfigProposal {
-    ChangeId change; ///< chosen by the operator's tool; asking again with it is always safe
-    Revision expected; ///< the revision that the set was made against; 0 for none yet
+    ChangeId change; ///< chosen by the operator's tool; repeating a proposal with the same id is always safe
+    Revision expected; ///< the revision that the set was based on; 0 if there was none yet
     std::string author;
     std::string declarations; ///< see ConfigLogEntry
     std::string digest; ///< see ConfigHead
 };
 
 enum class CommitOutcome {
-    Accepted, ///< is, or became, `revision`
-    Unchanged, ///< the set in force, `revision`, is the same
-    Conflict, ///< another change came first; `revision` is in force. This change has not and will not become one
-    Unavailable, ///< the store could not be asked; certainly not done by this ask. An earlier ask that got Unknown stays unknown
-    Unknown, ///< may be in force, or come into force; ask again with the same change id
+    Accepted, ///< the change is `revision`, committed now or by an earlier proposal with the same change id
+    Unchanged, ///< the set in force, `revision`, is the same as the proposed one
+    Conflict, ///< another change was committed first and `revision` is in force; this change isn't a revision and won't become one
+    Unavailable, ///< the store could not be reached; this proposal certainly has no effect. An earlier one that got Unknown stays unknown
+    Unknown, ///< the change may be in force, or come into force later; propose again with the same change id
 };
 auto toString(CommitOutcome outcome) -> const char *;
 
@@ -79,28 +80,29 @@
     Revision revision;
 };
 
-/// Read the head's row and the change's row.
+/// Asks the owner to read the head's row and the change's row.
 struct ReadConfig {
     std::vector<std::string> keys;
 };
+/// Asks the owner to send this transaction.
 struct WriteConfig {
     std::vector<TableOp> ops;
 };
-/// Nothing now: call resume() at this time.
+/// Asks the owner to call resume() at this time.
 struct WaitUntil {
     TimePoint until;
 };
 using ConfigStep = std::variant<ReadConfig, WriteConfig, WaitUntil, CommitDecision>;
 
-/// Usage: perform what the last step says and report it with the matching event, until a step is a CommitDecision.
+/// Usage: perform each returned step and report its result with readDone(), writeDone() or resume(), until a step is a CommitDecision.
 class ConfigCommit
 {
 public:
-    /// By `deadline` it decides.
+    /// No retry is started at or after `deadline`; the outcome is then Unknown or Unavailable.
     ConfigCommit(ConfigProposal proposal, TimePoint deadline);
 
     auto begin() -> ConfigStep;
-    /// `rows`: those of the keys that exist; none at all if the read failed.
+    /// `rows`: the rows of the keys that exist; empty optional if the read failed.
     auto readDone(const std::optional<std::vector<TableRow>> &rows, TimePoint now) -> ConfigStep;
     auto writeDone(const TransactResult &result, TimePoint now) -> ConfigStep;
     auto resume(TimePoint now) -> ConfigStep;
@@ -113,14 +115,14 @@
 
     ConfigProposal m_proposal;
     TimePoint m_deadline;
-    std::vector<TableOp> m_ops; ///< of the transaction sent last
-    bool m_resend = false; ///< the last answer to it was lost; to be sent again
-    bool m_uncertain = false; ///< some answer was lost, and no read has shown its outcome since
+    std::vector<TableOp> m_ops; ///< the last transaction sent
+    bool m_resend = false; ///< an answer to that transaction was lost; it is sent again
+    bool m_uncertain = false; ///< an answer was lost; without a decision from a later read, the outcome is Unknown
 };
 
 // [SECTION] Adoption
 
-/// A process puts a revision in force only if it is higher than the one it has: answers of lagging peers never take it back.
+/// A process puts a revision in force only if it is higher than its own, so that a lagging peer's answer can't revert it.
 auto mayAdopt(Revision inForce, Revision offered) -> bool;
 
 } // namespace KingCup
--- a/src/core/decisionlog.cpp
+++ b/src/core/decisionlog.cpp
@@ -5,15 +5,15 @@
 namespace KingCup
 {
 
-DecisionLog::DecisionLog(std::size_t most)
-    : m_capacity(most)
+DecisionLog::DecisionLog(std::size_t capacity)
+    : m_capacity(capacity)
 {
 }
 
-auto DecisionLog::find(const std::string &subject, std::size_t most) const -> std::vector<LoggedDecision>
+auto DecisionLog::find(const std::string &subject, std::size_t maxResults) const -> std::vector<LoggedDecision>
 {
     std::vector<LoggedDecision> found;
-    for (auto it = m_decisions.rbegin(); it != m_decisions.rend() && found.size() < most; ++it) {
+    for (auto it = m_decisions.rbegin(); it != m_decisions.rend() && found.size() < maxResults; ++it) {
         if (it->subject == subject || it->text.find(subject) != std::string::npos) {
             found.push_back(*it);
         }
--- a/src/core/decisionlog.h
+++ b/src/core/decisionlog.h
@@ -1,4 +1,4 @@
-// The recent decisions of a process with their reasons, for `kingcupctl explain`. Bounded: the oldest go first.
+// The recent decisions of a process with their reasons, for `kingcupctl explain`. Bounded: the oldest are dropped first.
 #pragma once
 
 #include "core/units.h"
@@ -13,17 +13,17 @@
 struct LoggedDecision {
     TimePoint at;
     std::string part; ///< "routing", "placement", ...
-    std::string subject; ///< a request id, an artifact or a target
+    std::string subject; ///< id of a request, or name of an artifact or target
     std::string text; ///< key=value fields with the reason
 };
 
 class DecisionLog
 {
 public:
-    explicit DecisionLog(std::size_t most = 4096);
+    explicit DecisionLog(std::size_t capacity = 4096);
 
-    /// Newest first, those whose subject or text names `subject`; all if it is empty.
-    auto find(const std::string &subject, std::size_t most) const -> std::vector<LoggedDecision>;
+    /// The decisions whose subject is `subject` or whose text contains it, newest first; all if it is empty.
+    auto find(const std::string &subject, std::size_t maxResults) const -> std::vector<LoggedDecision>;
 
     auto add(LoggedDecision decision) -> void;
 
--- a/src/core/declarationcodec.cpp
+++ b/src/core/declarationcodec.cpp
@@ -179,7 +179,7 @@
 template<typename Map, typename FromJson>
 auto mapFromJson(const Json &json, const char *key, Map &map, FromJson fromJson) -> void
 {
-    // A set without this part, or with a part of another type, is a truncated or foreign text: at() and get_ref() throw.
+    // If this part is missing or has another type, the text is truncated or isn't a set of declarations: at() and get_ref() throw.
     for (const auto &[name, value] : json.at(key).get_ref<const Json::object_t &>()) {
         requireObject(value);
         map.emplace(typename Map::key_type(name), fromJson(name, value));
@@ -209,7 +209,7 @@
 
 auto declarationsToJson(const Declarations &declarations) -> std::string
 {
-    // nlohmann keeps the members of objects sorted, which makes the text canonical.
+    // nlohmann::json keeps the members of objects sorted, which makes the text canonical.
     const Json json {
         {"services", mapToJson(declarations.services)},
         {"models", mapToJson(declarations.models)},
--- a/src/core/declarationcodec.h
+++ b/src/core/declarationcodec.h
@@ -1,7 +1,7 @@
-// Declarations as canonical JSON: the same set gives the same bytes, in every process. Used for table rows, snapshots and
+// Declarations as canonical JSON: the same set gives the same bytes in every process. Used for table rows, snapshots and
 // the messages that carry a revision between processes.
 //
-// Places are left out: they belong to the operator's files, and the same set read from other files is the same set.
+// Source locations are left out, so that the same set read from other files gives the same text.
 #pragma once
 
 #include "core/declarations.h"
@@ -14,11 +14,11 @@
 
 auto declarationsToJson(const Declarations &declarations) -> std::string;
 
-/// InvalidInput if the text isn't JSON of this shape. Fields that a newer version added are passed over; missing ones have
-/// their defaults.
+/// Returns InvalidInput if the text isn't JSON of this shape. Unknown fields, as a newer version may add, are ignored; missing fields get their
+/// defaults.
 auto declarationsFromJson(const std::string &text) -> Result<Declarations>;
 
-/// Whether both sets declare the same, wherever they were read from.
+/// Whether both sets declare the same things, regardless of the files they were read from.
 auto isSameSet(const Declarations &a, const Declarations &b) -> bool;
 
 /// One difference between two sets.
--- a/src/core/declarations.h
+++ b/src/core/declarations.h
@@ -1,11 +1,11 @@
-// What operators declare: services, models with versions and adapters, targets, policies. Plain data; checked as a whole.
+// What operators declare: services, models with versions and adapters, targets and the policy. Plain data; validated as a whole.
 //
 // Index of sections (search for [SECTION]):
-//   Priority       classes of requests
-//   Services       who may call what, and which calls are non-idempotent
+//   Priority       priority classes of requests
+//   Services       services that callers address, and which of their calls are non-idempotent
 //   Artifacts      models, versions and adapters: what is loaded into accelerator memory
-//   Targets        back ends and what their engines check
-//   Policies       weights and limits of a deployment
+//   Targets        back ends, and whether their engines check fencing numbers
+//   Policies       parameters of placement and loading
 //   Declarations   the whole set, as one revision holds it
 #pragma once
 
@@ -23,7 +23,7 @@
 
 // [SECTION] Priority
 
-/// Lower value goes first.
+/// Lower values are served first.
 enum class Priority { Interactive = 0, Standard = 1, Batch = 2 };
 
 auto toString(Priority priority) -> const char *;
@@ -44,9 +44,9 @@
 struct Service {
     ServiceName name;
     ServiceKind kind = ServiceKind::Models;
-    Priority priority = Priority::Standard; ///< where the caller names none
-    Duration timeBudget = Duration::seconds(30); ///< where the caller names none
-    double share = 1.0; ///< weight in fairness between services
+    Priority priority = Priority::Standard; ///< for requests that name none
+    Duration timeBudget = Duration::seconds(30); ///< for requests that name none
+    double share = 1.0; ///< weight in fair queueing between services
     std::vector<NonIdempotentCall> nonIdempotentCalls; ///< plain services only
     Duration claimRetention = Duration::seconds(86400); ///< how long a run-once record is kept
     SourceLocation location;
@@ -56,23 +56,23 @@
 
 enum class ArtifactKind { ModelVersion, Adapter };
 
-/// What is loaded as one: the weights of one version of a model, or an adapter on a base model.
-/// Names: a version is "MODEL@VERSION", an adapter is its own name.
+/// A unit of loading: the weights of one version of a model, or an adapter for a base model.
+/// A version is named "MODEL@VERSION"; an adapter has a name of its own.
 struct Artifact {
     ArtifactName name;
     ArtifactKind kind = ArtifactKind::ModelVersion;
     ServiceName service;
-    ArtifactName base; ///< for adapters: the model version it needs resident beside it
-    Bytes size; ///< weights
+    ArtifactName base; ///< adapters only: the model version that must be resident on the same target
+    Bytes size; ///< of the weights
     SourceLocation location;
 };
 
-/// A model that callers name; `current` is the version that the bare name stands for.
+/// A model that callers name. The bare name resolves to the version `current`.
 struct Model {
     std::string name;
     ServiceName service;
     ArtifactName current;
-    std::vector<ArtifactName> versions; ///< current first, then others kept resident during a change-over
+    std::vector<ArtifactName> versions; ///< current first, then others that stay resident while one version replaces another
     SourceLocation location;
 };
 
@@ -83,27 +83,27 @@
 
 struct Target {
     TargetId id;
-    ServiceName service; ///< a plain service's instance, or the models service a runner is for
+    ServiceName service; ///< the plain service that it is an instance of, or the models service that the runner works for
     FencingSupport fencing = FencingSupport::Ignored;
-    Duration longestOrderDelay = Duration::seconds(15); ///< after this an order that was sent can't take effect any more
+    Duration longestOrderDelay = Duration::seconds(15); ///< an order that was sent longer ago can't take effect any more
     SourceLocation location;
 };
 
 // [SECTION] Policies
 
 struct Policy {
-    double moveCost = 5.0; ///< on-time deliveries that one load must win to be worth it
-    Duration horizon = Duration::seconds(60); ///< over which placement counts on-time deliveries
-    double loadsPerSecond = 2.0; ///< what the weight store allows
-    int parallelLoads = 3; ///< loads at once at full speed
+    double moveCost = 5.0; ///< additional on-time deliveries that justify loading one artifact
+    Duration horizon = Duration::seconds(60); ///< time over which placement counts on-time deliveries
+    double loadsPerSecond = 2.0; ///< rate of loads that the weight store allows
+    int parallelLoads = 3; ///< concurrent loads that the weight store serves at full speed
     double kvReserve = 0.15; ///< share of an accelerator's memory kept for the KV cache
-    int floorZones = 2; ///< availability zones a floor copy is kept in, where memory allows
+    int floorZones = 2; ///< availability zones that keep a floor replica of each artifact, where memory allows
     SourceLocation location;
 };
 
 // [SECTION] Declarations
 
-/// The whole set. Keys are the names; iteration order is the names' order, so that every process derives the same from it.
+/// The whole set, keyed by name. The maps are ordered, so that every process derives the same results from it.
 struct Declarations {
     std::map<ServiceName, Service> services;
     std::map<std::string, Model> models;
@@ -112,25 +112,25 @@
     Policy policy;
 };
 
-/// Letters, digits, '-', '_', '.' and '@'; 1 to 200 of them: safe in paths, rows' keys and log lines.
+/// Whether the text is 1 to 200 letters, digits, '-', '_', '.' and '@': such names are safe in paths, row keys and log lines.
 auto isValidName(const std::string &text) -> bool;
 
-/// The model that a version belongs to by its name: "sun" for "sun@1"; empty for other names.
+/// The name of the model that a version belongs to: "sun" for "sun@1"; empty for other names.
 auto modelOfVersion(const ArtifactName &version) -> std::string;
 
-/// Fills each model's versions from the versions' names, current first.
+/// Fills each model's `versions` from the names of the artifacts, current first.
 auto linkVersions(Declarations &declarations) -> void;
 
-/// Everything that is wrong with the set as a whole: dangling references, bad sizes, duplicate names. Empty means valid.
+/// Validates the set as a whole and returns everything that is wrong: dangling references, invalid sizes, duplicate names. Empty means valid.
 auto checkDeclarations(const Declarations &declarations) -> Findings;
 
-/// What a caller's `model` names: the artifacts that must be resident on the runner, base first.
+/// A caller's `model` resolved to the artifacts that must be resident on the runner, base first.
 struct ResolvedModel {
     ServiceName service;
     std::vector<ArtifactName> artifacts; ///< one for a model or version, two (base, adapter) for an adapter
 };
 
-/// Finds a model, "MODEL@VERSION" or adapter by the name a caller used.
+/// Resolves the name of a model, a version ("MODEL@VERSION") or an adapter; empty if there is none.
 auto resolveModel(const Declarations &declarations, const std::string &name) -> std::optional<ResolvedModel>;
 
 /// Whether a call of a plain service must run at most once.
--- a/src/core/endpoint.h
+++ b/src/core/endpoint.h
@@ -7,14 +7,14 @@
 namespace KingCup
 {
 
-/// An IP number and a TCP port.
+/// An IP address and a TCP port.
 struct Endpoint {
     std::string address = "127.0.0.1";
     int port = 0;
 
     auto operator<=>(const Endpoint &) const = default;
 };
-/// "127.0.0.1:8080" to an endpoint; port 0 if the text isn't one.
+/// Parses "127.0.0.1:8080"; the port is 0 if the text isn't an endpoint.
 auto endpointFromString(const std::string &text) -> Endpoint;
 auto toString(const Endpoint &endpoint) -> std::string;
 
--- a/src/core/finding.h
+++ b/src/core/finding.h
@@ -1,5 +1,5 @@
-// Findings: what is wrong with an input, each with its place. A check collects all of them and reports them together,
-// so that an operator mends a file once and not once per mistake.
+// Findings: the errors in an input, each with its source location. A check collects all of them and reports them together,
+// so that an operator can correct a file in one pass.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace KingCup
 {
 
-/// Where in the operator's files something stands. line 0 means the file as a whole; an empty file means "no file".
+/// A position in the operator's files. Line 0 means the file as a whole; an empty file name means that there is no file.
 struct SourceLocation {
     std::string file; ///< path as the operator gave it
     int line = 0; ///< counted from 1
@@ -16,7 +16,7 @@
     auto operator==(const SourceLocation &) const -> bool = default;
 };
 
-/// One thing that is wrong.
+/// One error in the input.
 struct Finding {
     SourceLocation location;
     std::string message; ///< one short sentence, naming the key or value
@@ -24,7 +24,7 @@
 
 using Findings = std::vector<Finding>;
 
-/// What could be read of an input, and everything that is wrong with it. The value is only to be used if there are no findings.
+/// The result of reading an input: the parsed value and all findings. Use the value only if there are no findings.
 template<typename T>
 struct Checked {
     T value;
--- a/src/core/freshness.cpp
+++ b/src/core/freshness.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Versions that this process hasn't received yet; more than a few are on their way only if it receives nothing.
+/// Bounds the proofs kept for versions that this process hasn't received yet. There are more than a few only while it receives no versions at all.
 constexpr std::size_t MaxProofs = 16;
 
 } // namespace
@@ -36,7 +36,7 @@
     const auto place = std::find_if(m_proofs.begin(), m_proofs.end(), [&](const FreshnessProof &known) { return known.version > proof.version; });
     m_proofs.insert(place, proof);
     if (m_proofs.size() > MaxProofs) {
-        m_proofs.erase(m_proofs.begin() + 1); // the first is the one that may hold already
+        m_proofs.erase(m_proofs.begin() + 1); // keeps the first, which may be the one that applies to the known version
     }
 }
 
--- a/src/core/freshness.h
+++ b/src/core/freshness.h
@@ -1,13 +1,14 @@
-// Until when the declarations known here were the newest. Pure.
+// The last moment at which the declarations known to this process were proven to be current. Pure.
 //
-// A revoked key must be out of force within a bound on every gateway, also on one that is cut off from everything and can't know of the revocation. So a
-// gateway serves keyed requests only while it can show that its version was the newest a short while ago. It was at the moment at which it asked the
-// store, not when the answer came: a change may have been made between the two. From a peer it has the age of that peer's proof, and counts
-// it from the moment at which it asked the peer. No clock of another host is ever compared with its own.
+// A revoked key must stop working within a bounded time on every gateway, also on one that is partitioned from everything and can't learn of the
+// revocation. So a gateway serves requests with keys only while it has a recent proof that its version of the declarations was the newest.
+// A read of the store proves that for the moment at which the read was sent, not for the arrival of the answer: a change may have been made in between.
+// A peer answers with the age of its own proof, which is counted back from the moment at which the peer was asked. Times of different hosts are never
+// compared.
 //
 // Index of sections (search for [SECTION]):
-//   Proof       one statement
-//   Freshness   what follows from all of them
+//   Proof       a version and the moment at which it was the newest
+//   Freshness   what all received proofs say about a version
 #pragma once
 
 #include "core/ids.h"
@@ -23,7 +24,7 @@
 
 struct FreshnessProof {
     RowVersion version; ///< of the declarations' row
-    TimePoint asOf; ///< by this process's clock; all that was declared by then is part of that version
+    TimePoint asOf; ///< on this process's clock; everything declared until then is part of that version
 };
 
 // [SECTION] Freshness
@@ -31,13 +32,13 @@
 class Freshness
 {
 public:
-    /// The last moment at which nothing was declared that isn't part of `known`. Nothing: there is no proof.
+    /// The last moment for which it is proven that everything declared until then is part of `known`. Empty if there is no proof.
     auto provenAt(RowVersion known) const -> std::optional<TimePoint>;
 
     auto add(const FreshnessProof &proof) -> void;
 
 private:
-    std::vector<FreshnessProof> m_proofs; ///< in the order of their versions; each is of a later moment than those before it
+    std::vector<FreshnessProof> m_proofs; ///< in order of version; `asOf` rises too, since a proof that another one supersedes is dropped
 };
 
 } // namespace KingCup
--- a/src/core/hashing.h
+++ b/src/core/hashing.h
@@ -1,4 +1,4 @@
-// Hashes that every process computes alike: rendezvous ranking and prefix affinity rest on them.
+// Hashes that are the same in every process, as rendezvous hashing and prefix affinity require.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,11 @@
 namespace KingCup
 {
 
-/// xxHash64 of the text.
+/// xxHash64 of the text, with seed 0.
 auto stableHash(std::string_view text) -> std::uint64_t;
 
-/// The score of one member for one subject. Whoever scores highest ranks first; a member that goes moves only its own subjects.
+/// Rendezvous (highest random weight) hashing: the score of one member for one subject. The member with the highest score ranks first. When a member
+/// goes away, only the subjects that it ranked first for move to others.
 auto rendezvousScore(std::string_view subject, std::string_view member) -> std::uint64_t;
 
 } // namespace KingCup
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -1,9 +1,9 @@
-// Names of things, each its own type, so that a runner's name can't be passed where a model's is meant.
+// Names and counters, each kind with its own type, so that for example a runner's name can't be passed as a model's.
 //
 // Index of sections (search for [SECTION]):
-//   StrongName   the wrapper
-//   Names        what is named, and by whom
-//   Numbers      counters that order things: revisions, fences, row versions
+//   StrongName   the wrappers for names and numbers
+//   Names        ids and names of services, targets, requests, ...
+//   Numbers      counters that order things: revisions, fencing numbers, row versions
 #pragma once
 
 #include <compare>
@@ -18,7 +18,7 @@
 
 // [SECTION] StrongName
 
-/// A name of one kind of thing. Equal and ordered by its text; empty means "none".
+/// A name of one kind, compared and ordered by its text. Empty means "none".
 template<typename Tag>
 class StrongName
 {
@@ -83,23 +83,23 @@
 // [SECTION] Names
 
 using ServiceName = StrongName<struct ServiceNameTag>; ///< a declared service, e.g. "advisory"
-using ArtifactName = StrongName<struct ArtifactNameTag>; ///< what can be resident: a model version or an adapter
+using ArtifactName = StrongName<struct ArtifactNameTag>; ///< a model version or an adapter: what can be resident on a target
 using TargetId = StrongName<struct TargetIdTag>; ///< a back end: a runner (on an accelerator) or a plain service's instance
 using EntryId = StrongName<struct EntryIdTag>; ///< an entry process
 using ZoneName = StrongName<struct ZoneNameTag>; ///< an availability zone, e.g. "round-rock"
-using RequestId = StrongName<struct RequestIdTag>; ///< one caller request; given by the entry, unique
+using RequestId = StrongName<struct RequestIdTag>; ///< one request of a caller; unique, assigned by the entry process
 using RequestKey = StrongName<struct RequestKeyTag>; ///< the caller's Idempotency-Key
-using AttemptId = StrongName<struct AttemptIdTag>; ///< one try of a request at one target
+using AttemptId = StrongName<struct AttemptIdTag>; ///< one attempt to run a request on one target
 using ChangeId = StrongName<struct ChangeIdTag>; ///< one operator's change, chosen by the operator's tool
 using OrderId = StrongName<struct OrderIdTag>; ///< one order to an engine
-using WriteId = StrongName<struct WriteIdTag>; ///< one transaction on the table, the same when it is sent again
+using WriteId = StrongName<struct WriteIdTag>; ///< one transaction on the table; a resend keeps the id
 
 // [SECTION] Numbers
 
-using Revision = StrongNumber<struct RevisionTag>; ///< of the declared configuration; only ever rises
-using Fence = StrongNumber<struct FenceTag>; ///< fencing number of orders; engines that check it refuse lower ones
-using RowVersion = StrongNumber<struct RowVersionTag>; ///< of a table row; 0 means the row is absent
-using SendId = StrongNumber<struct SendIdTag>; ///< one sending of one request, counted by the process that sent it
+using Revision = StrongNumber<struct RevisionTag>; ///< revision of the declared configuration; only ever rises
+using Fence = StrongNumber<struct FenceTag>; ///< fencing number of orders; engines that check it refuse an order with a lower one
+using RowVersion = StrongNumber<struct RowVersionTag>; ///< version of a table row; 0 means that the row is absent
+using SendId = StrongNumber<struct SendIdTag>; ///< one send of one request, numbered by the sending process
 
 } // namespace KingCup
 
--- a/src/core/logselection.cpp
+++ b/src/core/logselection.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Parts whose lines tell what a host believed as a whole: they bear on all of its requests.
+/// Parts whose lines are about the host as a whole and so concern all of its requests.
 constexpr std::array<std::string_view, 5> HostWideParts {"config", "store", "lease", "process", "settings"};
 
 auto contains(const std::vector<std::string> &list, const std::string &text) -> bool
@@ -26,7 +26,7 @@
     }
 }
 
-/// Nothing: not a line of ours.
+/// Parses one log line; empty if it isn't a line of this system.
 auto parseLine(std::string_view line) -> std::optional<ExplainedLine>
 {
     ExplainedLine read;
@@ -98,7 +98,7 @@
 {
     const bool isNear = read.wallMillis >= m_from - m_options.before.inMillis() && read.wallMillis <= m_to + m_options.after.inMillis();
     if (!isNear || !logValue(line, "id").empty()) {
-        return false; // other requests' lines
+        return false; // too far away in time, or a line of another request
     }
     const auto part = logValue(line, "part");
     const bool isHostWide = contains(m_hosts, read.host) && std::find(HostWideParts.begin(), HostWideParts.end(), part) != HostWideParts.end();
--- a/src/core/logselection.h
+++ b/src/core/logselection.h
@@ -1,8 +1,8 @@
-// Which lines of a log explain one request: its own, in the order of time over all hosts, and what the same hosts learnt of the targets that
-// these lines name shortly before and after. Pure: lines go in, lines come out.
+// Selects the log lines that explain one request: the lines with its id on all hosts, ordered by time, and lines from shortly before and after about
+// its targets or about the state of its hosts as a whole. Pure: lines in, lines out.
 //
-// A line is "t=MILLIS host=HOST part=PART event=EVENT key=value ..."; what stands before "t=" (a collector's mark) is left out, and lines
-// that aren't such lines are skipped.
+// A line has the form "t=MILLIS host=HOST part=PART event=EVENT key=value ...". A log collector's prefix before "t=" is removed, and lines of another
+// form are skipped.
 #pragma once
 
 #include "core/units.h"
@@ -16,15 +16,15 @@
 {
 
 struct ExplainedLine {
-    std::int64_t wallMillis = 0; ///< time of day on its host; hosts' clocks may differ
+    std::int64_t wallMillis = 0; ///< wall-clock time on the line's host; clocks of hosts may differ
     std::string host;
     std::string text; ///< without time and host
-    bool hasRequestId = false; ///< bears the request's id; else of a target or the host
+    bool hasRequestId = false; ///< otherwise the line is about a target or the host
 };
 
 struct LogSelectionOptions {
-    Duration before = Duration::seconds(3); ///< a crash, an ejection or the loss of a lease is logged within this before it shows in a request
-    Duration after = Duration::seconds(1);
+    Duration before = Duration::seconds(3); ///< before its first line; a crash, ejection or loss of a lease shows in a request within this time
+    Duration after = Duration::seconds(1); ///< after the request's last line
 };
 
 class LogSelection
@@ -32,10 +32,10 @@
 public:
     explicit LogSelection(std::string requestId, LogSelectionOptions options = {});
 
-    auto isFound() const -> bool; ///< some line bears the id
-    auto lines() const -> std::vector<ExplainedLine>; ///< in the order of time
+    auto isFound() const -> bool; ///< find() has met a line with the id
+    auto lines() const -> std::vector<ExplainedLine>; ///< ordered by time
 
-    /// Every line is to be given twice, all files each time: first `find()`, which learns the time and the targets, then `collect()`.
+    /// Pass every line of all files twice: first to find(), which determines the request's time span, hosts and targets, then to collect().
     auto find(std::string_view line) -> void;
     auto collect(std::string_view line) -> void;
 
@@ -46,12 +46,12 @@
     LogSelectionOptions m_options;
     std::vector<std::string> m_targets;
     std::vector<std::string> m_hosts;
-    std::int64_t m_from = 0;
-    std::int64_t m_to = 0;
+    std::int64_t m_from = 0; ///< time of the request's first line
+    std::int64_t m_to = 0; ///< time of its last line
     std::vector<ExplainedLine> m_lines;
 };
 
-/// The value of a key of a log line, without quotes; empty: it has none.
+/// The value of a key in a log line, without quotes; empty if the line doesn't have the key.
 auto logValue(std::string_view line, std::string_view key) -> std::string;
 
 } // namespace KingCup
--- a/src/core/result.h
+++ b/src/core/result.h
@@ -7,17 +7,17 @@
 namespace KingCup
 {
 
-/// What kind of failure it was; the caller's next step depends on it alone.
+/// The kind of a failure, which alone decides how the caller proceeds.
 enum class ErrorCode {
-    InvalidInput, ///< the request itself is wrong; the same request fails again
+    InvalidInput, ///< the request itself is wrong and would fail again
     NotFound, ///< no such row, object, model or service
-    Conflict, ///< a compare-and-set met another version
-    Unavailable, ///< no answer was expected to have any effect (refused, not connected): certainly not done
-    Unknown, ///< sent, but no answer: it may or may not have been done
-    Overloaded, ///< refused for load; try later
+    Conflict, ///< a compare-and-set found another version
+    Unavailable, ///< refused or not connected: certainly not done
+    Unknown, ///< sent, but there was no answer: it may or may not have been done
+    Overloaded, ///< refused because of load; try again later
 };
 
-/// An error with its kind and a short sentence.
+/// An error: its kind and a short message.
 struct Error {
     ErrorCode code = ErrorCode::Unknown;
     std::string message;
--- a/src/core/reuselimit.h
+++ b/src/core/reuselimit.h
@@ -1,10 +1,10 @@
-// How long a kept connection may have been idle to get a request that must not run twice. Pure.
+// How long a pooled connection may have been idle before a request that must not run twice gets a new connection instead. Pure.
 //
-// A target may drop an idle connection without notice; the next request there is reset, and nobody knows whether it ran: if it must not run
-// twice, its caller gets a failure for a target that is sound. So such a request goes on a fresh connection unless the kept one was used of
-// late. Each fresh one costs the target a millisecond, a place of its few hundred, and a round trip before the request: held to three seconds,
-// four requests in ten opened one; held to eight, three in ten, with no more failures. Where targets drop connections sooner than that, one
-// notices by a reset that comes back at once, and the limit is short again for a while.
+// A target may drop an idle connection without notice. The next request on it is then reset, and it is unknown whether the request ran. If it must not
+// run twice, it can't be retried, and its caller gets an error although the target is healthy. So such a request uses a pooled connection only if that
+// was used recently. A new connection costs the target a millisecond and one of its few hundred connection slots, and the request a round trip. With a
+// limit of three seconds, four requests in ten opened a new connection; with eight seconds it was three in ten, without more failures. If a target drops
+// connections sooner than that, a reset comes back at once, and the limit is reduced for a while.
 #pragma once
 
 #include "core/units.h"
@@ -13,10 +13,10 @@
 {
 
 struct ReuseLimitOptions {
-    Duration defaultLimit = Duration::seconds(8); ///< a target that gets a request every few seconds keeps its connection
-    Duration reducedLimit = Duration::seconds(3); ///< no target was seen to drop a connection sooner
-    Duration reducedFor = Duration::seconds(30); ///< after a reset that a dropped connection explains
-    Duration maxResetDelay = Duration::millis(12); ///< a dropped connection answers within a round trip between zones, a broken run mostly later
+    Duration defaultLimit = Duration::seconds(8); ///< long enough that a target with a request every few seconds keeps its connection
+    Duration reducedLimit = Duration::seconds(3); ///< no target has been seen to drop a connection sooner
+    Duration reducedFor = Duration::seconds(30); ///< how long the limit stays reduced after a reset that looks like a dropped connection
+    Duration maxResetDelay = Duration::millis(12); ///< a dropped connection resets within a round trip between zones, a failing run mostly later
 };
 
 class ReuseLimit
@@ -34,7 +34,8 @@
     }
 
     // Commands
-    /// A request on a kept connection ended `after` it was sent, without any answer. True if that makes the limit short.
+    /// A request failed without any answer on a pooled connection that had been idle for `idleBefore`; `after` is the time since the request was sent.
+    /// Returns true if this reduces the limit.
     auto connectionBroke(Duration idleBefore, Duration after, TimePoint now) -> bool
     {
         const bool wasDropped = idleBefore >= m_options.reducedLimit && after <= m_options.maxResetDelay;
--- a/src/core/sharedretrybudget.h
+++ b/src/core/sharedretrybudget.h
@@ -1,8 +1,8 @@
-// How many sends beyond the first of each request may go out. When targets fail, every request would be sent again and the sound ones would
-// get twice their load; so what goes out again is held to a share of the requests, over all entries together.
+// Retry budget: limits resends, that is, the sends of a request after its first. When targets fail, every request would be sent again and the healthy
+// targets would get twice their load. So resends are limited to a share of the requests, over all gateways together.
 //
-// Each entry takes its part: the share of its own requests, and its part of the fixed allowance. Requests of the last window count, not of
-// the one that is open: what is promised by requests still to come must not be spent. Pure.
+// Each gateway applies its part of the limit: the share of its own requests plus an equal part of the fixed allowance. Only requests of the window
+// just passed count, so that a gateway can't spend the budget of requests still to come. Pure.
 #pragma once
 
 #include "core/units.h"
@@ -15,9 +15,9 @@
 
 struct SharedRetryBudgetOptions {
     Duration window = Duration::seconds(10);
-    double ratio = 0.2; ///< of the requests
-    double allowance = 50; ///< per window, all entries together
-    double safetyFactor = 0.8; ///< of the budget that is used: entries' windows don't begin together, and some of them may be unknown here
+    double ratio = 0.2; ///< resends per request
+    double allowance = 50; ///< additional resends per window, for all gateways together
+    double safetyFactor = 0.8; ///< share of the budget that is used, since gateways' windows aren't aligned and some gateways may be unknown here
 };
 
 class SharedRetryBudget
@@ -25,12 +25,12 @@
 public:
     explicit SharedRetryBudget(SharedRetryBudgetOptions options = {});
 
-    auto remaining(TimePoint now) const -> double; ///< sends that may still go out again
+    auto remaining(TimePoint now) const -> double; ///< resends that are still allowed
 
     auto setOptions(const SharedRetryBudgetOptions &options) -> void;
-    auto setGatewayCount(int live) -> void; ///< that share the allowance, this one included
+    auto setGatewayCount(int live) -> void; ///< live gateways that share the allowance, including this one
     auto requestSent(TimePoint now) -> void; ///< the first send of a request
-    auto requestResent(TimePoint now) -> void;
+    auto requestResent(TimePoint now) -> void; ///< every further send
 
 private:
     auto countIn(const std::deque<TimePoint> &moments, TimePoint now) const -> double;
--- a/src/core/sharedusage.cpp
+++ b/src/core/sharedusage.cpp
@@ -63,7 +63,8 @@
     }
 }
 
-/// Accounts that no gateway with knowledge has reported are unused. Where there is no such gateway all have started at once, and none knows.
+/// At the end of the learning period, accounts that no settled gateway has reported count as unused. If there is no settled gateway, all have started
+/// together and the usage before is unknown, so each account gets the cold-start allowance.
 auto SharedUsage::initializeUnreported(TimePoint now) -> void
 {
     if (m_isSettled || !isSettled(now)) {
@@ -88,7 +89,7 @@
         silent += peer.isSilent ? 1 : 0;
     }
     const double share = 1 - static_cast<double>(silent) / static_cast<double>(m_peers.size() + 1);
-    // A lower share holds since the silence began, a higher one only from now on.
+    // A lower share also applies to the time since the last refill, in which the peer was silent already; a higher one applies only from now on.
     if (share > m_share) {
         refillAll(now);
     }
@@ -131,7 +132,7 @@
     refill(bucket, now);
     UsageVerdict verdict;
     verdict.level = bucket.level;
-    // A request that is larger than a full bucket would never be admitted otherwise.
+    // A full bucket is enough, since a request larger than the bucket would never be admitted otherwise.
     const double needed = std::min(cost, bucket.limit.burst * m_share);
     verdict.isAdmitted = bucket.level >= needed;
     if (verdict.isAdmitted) {
@@ -178,7 +179,7 @@
     updateSilentPeers(now);
     auto &peer = m_peers[report.gateway];
     if (peer.isSilent) {
-        // Its share was left to it: what it has used meanwhile isn't charged.
+        // A share was reserved for the peer while it was silent, so what it has used meanwhile isn't charged.
         refillAll(now);
         peer.used.clear();
         peer.countsFromStart = false;
@@ -197,8 +198,8 @@
 
 auto SharedUsage::mergeAccount(Peer &peer, const AccountUsage &usage, bool isSettledPeer) -> void
 {
-    auto &before = peer.used.try_emplace(usage.account, peer.countsFromStart ? 0 : usage.used).first->second;
-    const auto news = usage.used - std::exchange(before, usage.used);
+    auto &lastUsed = peer.used.try_emplace(usage.account, peer.countsFromStart ? 0 : usage.used).first->second;
+    const auto delta = usage.used - std::exchange(lastUsed, usage.used);
     const auto found = m_buckets.find(usage.account);
     if (found == m_buckets.end()) {
         return;
@@ -209,7 +210,7 @@
         bucket.level = static_cast<double>(usage.level);
         return;
     }
-    bucket.level -= static_cast<double>(news);
+    bucket.level -= static_cast<double>(delta);
 }
 
 auto SharedUsage::setGateways(const std::vector<std::string> &others, TimePoint now) -> void
--- a/src/core/sharedusage.h
+++ b/src/core/sharedusage.h
@@ -1,16 +1,17 @@
-// What client accounts have used of their limits, over all gateways together. Pure.
+// Usage limits of client accounts, enforced over all gateways together. Pure.
 //
-// Each gateway keeps a token bucket for each account and charges it with its own requests, at once, and with those of the others as their reports come. So
-// all buckets show the same, but for the last report period: what an account can use beyond its limit is what it sends in that time, and the
-// bucket's debt makes up for it. Nobody owns an account, so nothing has to be handed over when a gateway fails.
+// Each gateway keeps a token bucket per account. It charges the bucket with its own requests at once and with those of the other gateways when their
+// reports arrive. So the buckets of all gateways agree except for the last report period. An account can exceed its limit by what it sends in that time;
+// the bucket's level then becomes negative, and the account pays it back. No gateway owns an account, so there is nothing to hand over when one fails.
 //
-// A silent gateway may be cut off from this one and still serve. Its equal share of each limit is left to it, and a gateway whose peers are all silent keeps to
-// just that. So the limits hold on both sides of a cut, and a gateway that wakes after a pause can't spend what the others have used meanwhile.
+// A silent gateway, one whose reports have stopped, may be partitioned from this one and still serve. So an equal share of each limit is reserved for it,
+// and a gateway whose peers are all silent uses only its own share. The limits therefore hold on both sides of a partition, and a gateway that resumes
+// after a pause can't spend what the others have used meanwhile.
 //
 // Index of sections (search for [SECTION]):
-//   Options       constants
-//   Messages      a gateway's report
-//   SharedUsage   the buckets
+//   Options       time bounds and shares
+//   Messages      a gateway's usage report
+//   SharedUsage   the token buckets
 #pragma once
 
 #include "core/accounts.h"
@@ -29,38 +30,39 @@
 // [SECTION] Options
 
 struct SharedUsageOptions {
-    Duration silentAfter = Duration::millis(600); ///< without a report of a gateway, until its share is left to it
-    Duration forgetSilentAfter = Duration::seconds(30); ///< a silent gateway; it may be cut off for as long
-    Duration learningPeriod = Duration::millis(1000); ///< after the start, until accounts that no gateway has reported are taken to be unused
-    double coldStartAllowance = 20000; ///< tokens of each account after a start of all gateways, beyond its rate
-    double maxUnreportedShare = 0.2; ///< of an account's burst, what all gateways together may have used without a report
-    double nearlyExhaustedShare = 0.3; ///< of its burst: an account with less left is nearly used up
-    Duration maxReportDelay = Duration::seconds(1); ///< smaller amounts
+    Duration silentAfter = Duration::millis(600); ///< a gateway that hasn't reported for this long is silent: a share is reserved for it
+    Duration forgetSilentAfter = Duration::seconds(30); ///< no share is reserved after this time without a report; a partition may last as long
+    Duration learningPeriod = Duration::millis(1000); ///< after the start; accounts that no gateway has reported by then count as unused
+    double coldStartAllowance = 20000; ///< initial tokens of each account, beyond its rate, when all gateways have started together
+    double maxUnreportedShare = 0.2; ///< share of an account's burst that all gateways together may use before a report is urgent
+    double nearlyExhaustedShare = 0.3; ///< an account with less than this share of its burst left is reported urgently
+    Duration maxReportDelay = Duration::seconds(1); ///< smaller amounts are reported within this time
 };
 
 // [SECTION] Messages
 
 struct AccountUsage {
-    std::uint32_t account = 0; ///< short name; see accountHash()
-    std::int64_t used = 0; ///< by the reporting gateway since its start
-    std::int64_t level = 0; ///< of its bucket
+    std::uint32_t account = 0; ///< see accountHash()
+    std::int64_t used = 0; ///< total that the reporting gateway has charged since its start
+    std::int64_t level = 0; ///< level of the reporting gateway's bucket
 };
 
 struct UsageReport {
-    std::string gateway; ///< its host
-    EntryId start; ///< this start of it: amounts count from there
-    bool isSettled = false; ///< it knows what the others have used
-    std::vector<AccountUsage> accounts; ///< those that have changed
+    std::string gateway; ///< host of the reporting gateway
+    EntryId start; ///< identifies one start of the gateway process; `used` counts from that start
+    bool isSettled = false; ///< the gateway's learning period is over: its levels include what the others have used
+    std::vector<AccountUsage> accounts; ///< accounts with usage to report, see takeReport()
 };
 
+/// Hash that stands for the account's name in reports and keys its bucket.
 auto accountHash(const AccountName &account) -> std::uint32_t;
 
 // [SECTION] SharedUsage
 
 struct UsageVerdict {
     bool isAdmitted = false;
-    double level = 0; ///< of the bucket, before the request
-    Duration availableIn; ///< if rejected: until the bucket has enough for it, if nobody else uses the account
+    double level = 0; ///< level of the bucket before the request
+    Duration availableIn; ///< if rejected: time until the bucket has enough for the request, unless others use the account meanwhile
 };
 
 class SharedUsage
@@ -69,23 +71,23 @@
     explicit SharedUsage(TimePoint startedAt, SharedUsageOptions options = {});
 
     // Queries
-    auto share() const -> double; ///< of each limit, that this gateway may use together with those that report to it
-    auto isReportUrgent(const AccountName &account) const -> bool; ///< what was charged here must be known to the others before the next period
-    auto isSettled(TimePoint now) const -> bool;
+    auto share() const -> double; ///< share of each limit that this gateway may use together with the gateways that report to it
+    auto isReportUrgent(const AccountName &account) const -> bool; ///< the others must learn what was charged here before the next regular report
+    auto isSettled(TimePoint now) const -> bool; ///< the learning period is over
 
     // Commands: this gateway
     auto setAccounts(const std::vector<ClientAccount> &accounts, TimePoint now) -> void;
     auto setSilentAfter(Duration span) -> void;
-    /// Charges the account if it has enough left. Accounts without a limit admit everything.
+    /// Charges the account if it has enough left. Requests of accounts without a limit are always admitted.
     auto admit(const AccountName &account, double cost, TimePoint now) -> UsageVerdict;
-    /// A request that was admitted did not run.
+    /// Reverses the charge of an admitted request that did not run.
     auto refund(const AccountName &account, double cost, TimePoint now) -> void;
-    /// What is due; call several times a second.
+    /// Returns the usage that is due to be reported and counts it as reported. Call several times a second.
     auto takeReport(TimePoint now) -> std::vector<AccountUsage>;
 
     // Commands: other gateways
-    auto merge(const UsageReport &report, TimePoint now) -> void; ///< also without accounts: the gateway is there
-    /// Hosts of the other gateways, as registered. One that never reports counts as silent, for as long as it would be remembered.
+    auto merge(const UsageReport &report, TimePoint now) -> void; ///< a report without accounts still shows that the gateway is live
+    /// Hosts of the other gateways, as registered. One that never reports counts as silent until it is forgotten like any silent gateway.
     auto setGateways(const std::vector<std::string> &others, TimePoint now) -> void;
 
 private:
@@ -93,17 +95,17 @@
         UsageLimit limit;
         double level = 0;
         TimePoint refilledAt;
-        double used = 0; ///< by this gateway
-        double reported = 0; ///< of that
+        double used = 0; ///< charged by this gateway since its start
+        double reported = 0; ///< value of `used` in the last report
         TimePoint reportedAt;
-        bool isInitialized = false; ///< the level takes account of what was used before this gateway's start
+        bool isInitialized = false; ///< the level includes what was used before this gateway's start
     };
     struct Peer {
         EntryId start;
         TimePoint seenAt;
         bool isSilent = false;
-        bool countsFromStart = false; ///< this gateway has seen that start from its beginning
-        std::map<std::uint32_t, std::int64_t> used;
+        bool countsFromStart = false; ///< everything that the peer has used since `start` is charged here; else only what follows its first report
+        std::map<std::uint32_t, std::int64_t> used; ///< by account hash, from its reports
     };
     auto refill(Bucket &bucket, TimePoint now) const -> void;
     auto refillAll(TimePoint now) -> void;
@@ -114,9 +116,9 @@
 
     SharedUsageOptions m_options;
     TimePoint m_startedAt;
-    std::map<std::uint32_t, Bucket> m_buckets; ///< by short name
-    std::map<std::string, Peer> m_peers;
-    std::set<std::string> m_registered; ///< at any time
+    std::map<std::uint32_t, Bucket> m_buckets; ///< by account hash
+    std::map<std::string, Peer> m_peers; ///< by host
+    std::set<std::string> m_registered; ///< hosts that have ever been registered
     double m_share = 1;
     bool m_hasSettledPeer = false;
     bool m_isSettled = false;
--- a/src/core/targetinfo.h
+++ b/src/core/targetinfo.h
@@ -1,9 +1,9 @@
-// What a target says about itself where entries reach targets directly: its row in the discovery table, and a runner's own report.
-// Plain data, decoded from whatever the deployment speaks.
+// What a target publishes about itself in deployments where gateways reach targets directly: its row in the discovery table, and a runner's own
+// status report. Plain data, decoded from the deployment's format.
 //
 // Index of sections (search for [SECTION]):
-//   Description   a target's row
-//   Report        a runner's engine, as it answers when asked
+//   Description   a target's row in the discovery table
+//   Report        a runner's answer to a status request
 #pragma once
 
 #include "core/endpoint.h"
@@ -21,21 +21,21 @@
 
 // [SECTION] Description
 
-/// A model that a runner holds.
+/// A model that is resident on a runner.
 struct ResidentModel {
     std::string name;
-    std::uint64_t version = 0; ///< of its weights
-    std::vector<std::string> adapters; ///< ready to use
-    bool isDraining = false; ///< to be unloaded when its last stream has ended: takes no new requests if another copy can
+    std::uint64_t version = 0; ///< of the weights
+    std::vector<std::string> adapters; ///< loaded and ready to use
+    bool isDraining = false; ///< will be unloaded when its last stream has ended; gets new requests only if no other replica can take them
 
     auto hasAdapter(std::string_view adapter) const -> bool;
     auto operator==(const ResidentModel &) const -> bool = default;
 };
 
-/// One start of a target. The same id may start again: then everything it held and counted is gone.
+/// One start of a target. A target that starts again keeps its id but loses everything that was resident and all counters.
 struct TargetIncarnation {
     TargetId id;
-    std::uint64_t startedAtMillis = 0; ///< when it started, by its own time of day; only compared for being the same; 0: not said
+    std::uint64_t startedAtMillis = 0; ///< wall-clock time of the start on the target's host; compared only for equality; 0: not stated
 
     auto operator<=>(const TargetIncarnation &) const = default;
 };
@@ -46,13 +46,13 @@
     Endpoint address;
     ZoneName zone;
     std::string softwareVersion;
-    int slots = 0; ///< requests it runs at once
+    int slots = 0; ///< concurrent requests
     bool isLeaving = false; ///< takes no new work
-    std::optional<Duration> terminatesIn; ///< leaving at short notice: whatever still runs then is cut off
-    Duration warmupRemaining; ///< after its start it is slow for this much longer
+    std::optional<Duration> terminatesIn; ///< set when leaving at short notice: requests that still run after this time are cut off
+    Duration warmupRemaining; ///< the target is slow for this long yet, since it started recently
     std::vector<ResidentModel> models;
-    std::vector<std::string> weightsInMemory; ///< models whose weights it can load from its own memory
-    std::vector<std::string> weightsOnDisk; ///< or from its own disk
+    std::vector<std::string> weightsInMemory; ///< models whose weights are cached in the target's own memory
+    std::vector<std::string> weightsOnDisk; ///< models whose weights are cached on the target's own disk
 
     auto model(std::string_view name) const -> const ResidentModel *;
 };
@@ -60,15 +60,15 @@
 // [SECTION] Report
 
 struct RunnerReport {
-    std::optional<std::uint64_t> startedAtMillis; ///< of the start that answers; nothing if it doesn't say
+    std::optional<std::uint64_t> startedAtMillis; ///< identifies the start, see TargetIncarnation; empty if not stated
     std::vector<ResidentModel> models;
     std::vector<std::string> adaptersLoading; ///< "MODEL/ADAPTER", being fetched
-    bool isBusy = false; ///< carrying out an order
-    std::uint64_t ordersTaken = 0;
-    int waiting = 0; ///< requests in its own queue
-    int running = 0;
-    std::int64_t kvUsed = 0; ///< tokens of memory that can't be given up
-    std::int64_t kvTotal = 0; ///< tokens
+    bool isBusy = false; ///< executing an order
+    std::uint64_t ordersTaken = 0; ///< orders accepted since the start
+    int waiting = 0; ///< requests in the runner's own queue
+    int running = 0; ///< requests
+    std::int64_t kvUsed = 0; ///< KV cache that can't be evicted, in tokens
+    std::int64_t kvTotal = 0; ///< capacity of the KV cache, in tokens
     std::vector<std::string> weightsInMemory;
     std::vector<std::string> weightsOnDisk;
 };
--- a/src/core/units.h
+++ b/src/core/units.h
@@ -1,7 +1,7 @@
-// Quantities with their unit in the type: time and memory.
+// Types for quantities of time and memory that carry their unit.
 //
 // Index of sections (search for [SECTION]):
-//   Time     microseconds; a TimePoint only means something within one process
+//   Time     microseconds; a TimePoint is only meaningful within one process
 //   Memory   bytes of accelerator memory
 #pragma once
 
@@ -67,7 +67,7 @@
     std::int64_t m_micros = 0;
 };
 
-/// A moment on one process's monotonic clock. Never compare those of two hosts.
+/// A moment on one process's monotonic clock. Never compare time points of two processes.
 class TimePoint
 {
 public:
@@ -107,7 +107,7 @@
 
 // [SECTION] Memory
 
-/// Accelerator memory in bytes. Signed, so that a difference can be shown when it is negative.
+/// Accelerator memory in bytes. Signed, so that a difference can be negative.
 class Bytes
 {
 public:
--- a/src/core/versionswitch.h
+++ b/src/core/versionswitch.h
@@ -1,4 +1,4 @@
-// Which version a bare model name stands for while its current version is being replaced: the old one until the new one is resident.
+// Selects the version that a bare model name resolves to while the current version is being replaced: the old one until the new one is resident.
 #pragma once
 
 #include "core/declarations.h"
@@ -12,8 +12,8 @@
 namespace KingCup
 {
 
-/// Without this, a change of `current` takes effect as soon as an entry adopts the revision, while the new weights still load: every
-/// caller of the bare name would be refused for that time.
+/// Without this class, a change of `current` would take effect as soon as an entry process adopts the revision, and every caller of the bare name
+/// would be refused until the new weights are loaded.
 class VersionSwitch
 {
 public:
@@ -21,9 +21,9 @@
     using IsResident = std::function<bool(const ArtifactName &)>;
 
     // Queries
-    /// The version to use for the model; empty if it isn't known.
+    /// The version to use for the model; empty if the model isn't declared.
     auto effective(const std::string &model) const -> ArtifactName;
-    /// Old versions that are still in use though perhaps no longer declared; the planner and agents must keep them.
+    /// Old versions that are still in use, though they may no longer be declared. The planner and the agents must keep them resident.
     auto retained() const -> std::vector<ArtifactName>;
 
     // Commands
@@ -31,8 +31,8 @@
     auto update(const Declarations &declarations, const IsResident &isResident) -> void;
 
 private:
-    std::map<std::string, ArtifactName> m_effective;
-    std::map<std::string, ArtifactName> m_declared;
+    std::map<std::string, ArtifactName> m_effective; ///< version in use, by model
+    std::map<std::string, ArtifactName> m_declared; ///< declared current version, by model
 };
 
 } // namespace KingCup
--- a/tests/fuzz_declarations.cpp
+++ b/tests/fuzz_declarations.cpp
@@ -1,4 +1,4 @@
-// Declarations and settings come from people's editors and from other processes: whatever the bytes, they are read or refused.
+// Declarations and settings come from people's editors and from other processes. Corrupted text must be either read correctly or refused with findings.
 #include "core/declarationcodec.h"
 #include "settings/daemonsettings.h"
 #include "settings/declarationfile.h"
@@ -30,7 +30,7 @@
     return static_cast<int>(std::count(text.begin(), text.end(), '\n')) + 1;
 }
 
-auto arePlacesInside(const Findings &findings, const std::string &text) -> bool
+auto areLocationsInside(const Findings &findings, const std::string &text) -> bool
 {
     return std::all_of(findings.begin(), findings.end(), [&](const Finding &finding) {
         return finding.location.line >= 0 && finding.location.line <= lineCount(text) && !finding.message.empty();
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("garbled declarations are read whole or have findings with places in the file")
+TEST_CASE("corrupted declarations are read whole or have findings with locations in the file")
 {
     const auto original = exampleText();
     REQUIRE(parseDeclarations("a.ini", original).isValid());
@@ -48,7 +48,7 @@
         const auto text = Mutator(static_cast<std::uint32_t>(round), Mutations).mutate(original);
         const auto read = parseDeclarations("a.ini", text);
         INFO("round " << round);
-        REQUIRE(arePlacesInside(read.findings, text));
+        REQUIRE(areLocationsInside(read.findings, text));
         refused += read.isValid() ? 0 : 1;
         if (read.isValid()) {
             const auto json = declarationsToJson(read.value);
@@ -60,17 +60,17 @@
     REQUIRE(refused > Rounds / 10);
 }
 
-TEST_CASE("garbled settings have findings with places in the file")
+TEST_CASE("corrupted settings have findings with locations in the file")
 {
     const auto original = commentedSettings() + "[process]\nrole = entry\n";
     for (int round = 0; round < Rounds; ++round) {
         const auto text = Mutator(static_cast<std::uint32_t>(round), Mutations).mutate(original);
         INFO("round " << round);
-        REQUIRE(arePlacesInside(parseDaemonSettings("a.ini", text).findings, text));
+        REQUIRE(areLocationsInside(parseDaemonSettings("a.ini", text).findings, text));
     }
 }
 
-TEST_CASE("a garbled snapshot is refused, or is a set that can be passed on unchanged")
+TEST_CASE("a corrupted snapshot is refused, or is a set that survives a round trip unchanged")
 {
     const auto original = declarationsToJson(parseDeclarations("a.ini", exampleText()).value);
     int refused = 0;
--- a/tests/unit_accounts.cpp
+++ b/tests/unit_accounts.cpp
@@ -1,4 +1,4 @@
-// Keys of client accounts, the proof that none of them was revoked, and what becomes of a request. In virtual time.
+// Keys of client accounts, the proof that the declarations are current, and the resulting admission of requests. In virtual time.
 #include "core/accountaccess.h"
 #include "platform/protocol.h"
 #include "tests/mutator.h"
@@ -56,9 +56,9 @@
     }
 }
 
-TEST_CASE("garbled authorization headers give one word or nothing")
+TEST_CASE("corrupted authorization headers give one word or nothing")
 {
-    // Guards against a header that is read as a key which no client has, or that crashes a gateway.
+    // Guards against a malformed header that is accepted as a key or crashes a gateway.
     const MutatorOptions mutations {
         .mostEdits = 4, .longestPiece = 6, .nasty = {"Bearer", " ", "\t", std::string(1, '\0'), ",", "\xff"}, .replacesValues = false};
     for (std::uint32_t round = 0; round < 20000; ++round) {
@@ -71,7 +71,7 @@
     }
 }
 
-TEST_CASE("keys are looked up among many, and a rotated one names the same account")
+TEST_CASE("each key finds its account among many, and a rotated key the same account as before")
 {
     std::vector<ClientAccount> accounts;
     for (int i = 0; i < 1000; ++i) {
@@ -105,10 +105,11 @@
     CHECK(traffic.accounts.find(digestOf("k3")) == nullptr);
     CHECK(traffic.accounts.accounts().at(1).limit.costOf(1460) == 1);
     CHECK_FALSE(Platform::decodeTraffic(R"({"version":7})").value.hasAccounts);
-    CHECK(Platform::decodeTraffic(R"({"version":7,"tenants":{"name":"a"}})").value.hasAccounts); // unreadable: nobody may call, rather than everybody
+    CHECK(Platform::decodeTraffic(R"({"version":7,"tenants":{"name":"a"}})")
+              .value.hasAccounts); // accounts that can't be read must block every caller, not admit everyone
 }
 
-TEST_CASE("an account's priority replaces its route's, against routes to the same service only")
+TEST_CASE("an account's priority replaces its route's, and is ranked among the routes to the same service only")
 {
     Traffic traffic;
     for (const auto &[name, goal] : std::vector<std::pair<std::string, int>> {{"chat", 400}, {"summary", 600}, {"batch", 2000}, {"call", 120}}) {
@@ -128,7 +129,7 @@
 
 TEST_CASE("a proof holds for its version and for later ones, never for an earlier one")
 {
-    // Guards against serving a revoked key because something newer than what is known here was the newest.
+    // Guards against serving a revoked key: a proof for a newer version must not count for the older version that is known here.
     Freshness freshness;
     CHECK_FALSE(freshness.provenAt(RowVersion(9)));
     freshness.add({RowVersion(5), at(1)});
@@ -137,13 +138,13 @@
     CHECK(freshness.provenAt(RowVersion(5)) == at(1));
     CHECK(freshness.provenAt(RowVersion(7)) == at(2));
     CHECK(freshness.provenAt(RowVersion(8)) == at(2));
-    freshness.add({RowVersion(6), at(0.5)}); // of an earlier moment, received late
+    freshness.add({RowVersion(6), at(0.5)}); // an older proof that arrives late
     CHECK(freshness.provenAt(RowVersion(6)) == at(1));
 }
 
-TEST_CASE("proofs of versions that aren't received yet don't displace the one that holds")
+TEST_CASE("proofs of versions that aren't received yet don't evict the proof of the known version")
 {
-    // Guards against a gateway without rows that loses a good proof while versions go by.
+    // Guards against a gateway that receives no rows and loses a valid proof, because proofs of many newer versions fill the list.
     Freshness freshness;
     freshness.add({RowVersion(5), at(1)});
     for (int i = 0; i < 100; ++i) {
@@ -153,9 +154,9 @@
     CHECK(freshness.provenAt(RowVersion(109)) == at(101));
 }
 
-TEST_CASE("a proof through a chain of peers is never younger than the store's answer, whatever the delays")
+TEST_CASE("a proof passed through a chain of peers is never younger than the read of the store, whatever the delays")
 {
-    // Guards against ages that are counted from an answer's arrival, or lost on the way.
+    // Guards against a proof whose age is counted from an answer's arrival, or lost between peers: it would hide a revocation.
     std::uint32_t state = 1;
     const auto draw = [&state] {
         state = state * 1664525U + 1013904223U;
@@ -168,11 +169,11 @@
         Freshness known;
         known.add({RowVersion(3), at(readAt)});
         for (int hop = 0; hop < 4; ++hop) {
-            // Each next one asks at any time before the answer, on a clock of its own.
+            // The next gateway asks at some time, on its own clock.
             const double askedAt = now;
             now += draw(); // until the request arrives
             const auto age = at(now) - *known.provenAt(RowVersion(3));
-            now += draw(); // until the reply does
+            now += draw(); // until the reply arrives
             Freshness next;
             next.add({RowVersion(3), at(askedAt) - age});
             REQUIRE(*next.provenAt(RowVersion(3)) <= at(readAt));
@@ -183,21 +184,21 @@
 
 TEST_CASE("keyed requests run only while the declarations are proven")
 {
-    // Guards against revoked keys on a gateway that is cut off or was suspended.
+    // Guards against serving revoked keys on a gateway that is partitioned or was suspended.
     auto access = provenAccess();
     CHECK(access.decide("Bearer k", 100, at(4.5)).grant);
     const auto late = access.decide("Bearer k", 100, at(4.6));
     CHECK(late.refusal == AccessRefusal::DeclarationsUnproven);
     CHECK_FALSE(late.grant);
-    access.addProof({RowVersion(8), at(4.6)}); // a version that isn't received
+    access.addProof({RowVersion(8), at(4.6)}); // a version that isn't received yet
     CHECK(access.decide("Bearer k", 100, at(4.7)).refusal == AccessRefusal::DeclarationsUnproven);
     access.rowReceived(RowVersion(8));
     CHECK(access.decide("Bearer k", 100, at(4.7)).grant);
 }
 
-TEST_CASE("a key that isn't declared is unknown only if the declarations were the newest a moment ago")
+TEST_CASE("an undeclared key is refused as unknown only with a recent proof of the declarations")
 {
-    // Guards against a 401 for a key that was added while this gateway couldn't know of it.
+    // Guards against a 401 for a key that was added while this gateway couldn't learn of it.
     auto access = provenAccess();
     CHECK(access.decide("Bearer other", 100, at(1)).refusal == AccessRefusal::KeyUnknown);
     CHECK(access.decide("Bearer other", 100, at(3)).refusal == AccessRefusal::DeclarationsUnproven);
@@ -205,9 +206,9 @@
     CHECK(access.decide("Basic k", 100, at(1)).refusal == AccessRefusal::KeyMalformed);
 }
 
-TEST_CASE("a request whose key is revoked while it waits isn't sent any more")
+TEST_CASE("a request whose key is revoked while it waits isn't sent")
 {
-    // Guards against queued requests, retries and resumptions that run after the revocation.
+    // Guards against queued requests, retries and resumed streams that run after the revocation of their key.
     auto access = provenAccess();
     const auto decision = access.decide("Bearer k", 100, at(1));
     REQUIRE(decision.grant);
@@ -215,13 +216,13 @@
     CHECK(access.confirm(*decision.grant, at(5)) == AccessRefusal::DeclarationsUnproven);
     access.adopt(trafficWith({accountWith("asha", "k2")}), at(2));
     CHECK(access.confirm(*decision.grant, at(2)) == AccessRefusal::KeyUnknown);
-    access.adopt(trafficWith({accountWith("bilal", "k")}), at(2)); // given to another account meanwhile
+    access.adopt(trafficWith({accountWith("bilal", "k")}), at(2)); // the key now belongs to another account
     CHECK(access.confirm(*decision.grant, at(2)) == AccessRefusal::KeyUnknown);
 }
 
-TEST_CASE("what didn't run is given back to its account")
+TEST_CASE("the cost of a request that didn't run is refunded to its account")
 {
-    // Guards against accounts that are refused below their limit because full targets rejected their requests.
+    // Guards against accounts that are refused below their limit because overloaded targets rejected their requests.
     auto access = provenAccess(1000);
     const auto first = access.decide("Bearer k", 900, at(0));
     REQUIRE(first.grant);
--- a/tests/unit_configlog.cpp
+++ b/tests/unit_configlog.cpp
@@ -12,7 +12,7 @@
 
 constexpr auto Budget = Duration::seconds(5);
 
-/// One operator's change, driven to its decision.
+/// Runs one operator's change until its decision.
 struct Operator {
     Operator(SimClock &clockGiven, SimTable &tableGiven, ConfigProposal proposal)
         : clock(clockGiven)
@@ -105,7 +105,7 @@
     REQUIRE(entry->change == ChangeId("c2"));
 }
 
-TEST_CASE("asking again with the same change id gives the same revision, the same set is unchanged")
+TEST_CASE("proposing again with the same change id gives the same revision, and proposing the same set is unchanged")
 {
     World world;
     world.start("c1", 0);
@@ -123,10 +123,9 @@
     REQUIRE(same.decision->revision == Revision(2));
 }
 
-TEST_CASE("of two operators racing on one revision one wins and the other learns which revision beat it")
+TEST_CASE("of two concurrent changes to one revision one is accepted, and the other conflicts and gets the revision in force")
 {
-    // Two operators apply different sets made against the same revision at the same moment. Were both accepted, one change would
-    // silently undo the other.
+    // Two operators apply different sets based on the same revision at the same time. If both were accepted, one change would silently undo the other.
     World world;
     world.start("c0", 0);
     world.settle();
@@ -142,7 +141,7 @@
 
 TEST_CASE("a change whose answer was lost is found by its change id")
 {
-    // The store commits the change but its answer never comes. Told "failed", the operator would apply it again on top of itself.
+    // The store commits the change but its answer is lost. If this were reported as a failure, the operator would apply the change a second time.
     World world;
     world.table.faults.lostAnswer = 1;
     std::optional<CommitDecision> decided;
@@ -162,8 +161,8 @@
 
 TEST_CASE("a change that met a conflict after a lost answer is unknown until the store can be read")
 {
-    // The first answer is lost, the second try conflicts, and then the store goes away. The first may well be in force: told "not done",
-    // the operator would make the change a second time.
+    // The first answer is lost, the second try conflicts, and then the store becomes unreachable. The first try may be in force: if the change were
+    // reported as not done, the operator would make it a second time.
     World world;
     const auto now = world.clock.now();
     ConfigCommit commit({.change = ChangeId("c"), .expected = Revision(), .author = "", .declarations = "", .digest = "d"}, now + Budget);
@@ -175,7 +174,7 @@
     REQUIRE(std::get<CommitDecision>(step).outcome == CommitOutcome::Unknown);
 }
 
-TEST_CASE("with the store down a change is certainly not done")
+TEST_CASE("with the store down a change is unavailable and certainly not done")
 {
     World world;
     world.table.down = true;
@@ -189,21 +188,21 @@
 
 TEST_CASE("only higher revisions are adopted")
 {
-    // A peer that lags offers an older snapshot. Were it taken, an accepted change would revert until the next one.
+    // A lagging peer offers an older snapshot. If it were adopted, an accepted change would be reverted until the next one.
     REQUIRE(mayAdopt(Revision(3), Revision(4)));
     REQUIRE_FALSE(mayAdopt(Revision(3), Revision(3)));
     REQUIRE_FALSE(mayAdopt(Revision(3), Revision(2)));
 }
 
-TEST_CASE("what operators are told agrees with the log, over seeds of lost, late and refused writes")
+TEST_CASE("the outcomes reported to operators agree with the log, over seeds of lost, late and refused writes")
 {
-    // Five operators race, each asking up to three times with its change id, while the store loses answers and lets writes take effect
-    // late. A change told "conflict" or "not done" that comes into force later surprises everybody; one accepted that is not in the log is lost.
+    // Thirty proposals of ten changes run concurrently, while the store refuses writes, loses requests and answers, and lets writes take effect late.
+    // Guards against a change that is reported as a conflict but comes into force later, and one that is reported as accepted but isn't in the log.
     const auto seed = GENERATE(range(1, 201));
     World world(static_cast<std::uint64_t>(seed));
     world.table.faults = {.lostRequest = 0.1, .lostAnswer = 0.2, .late = 0.2, .refused = 0.1};
     std::uniform_int_distribution<int> percent(0, 99);
-    std::map<std::string, std::uint64_t> expected; // a change asked for again is made against the same revision
+    std::map<std::string, std::uint64_t> expected; // a change that is proposed again expects the same revision
     for (int round = 0; round < 30; ++round) {
         const auto change = "c" + std::to_string(percent(world.random) % 10);
         const auto inForce = world.head().revision.value();
--- a/tests/unit_declarations.cpp
+++ b/tests/unit_declarations.cpp
@@ -28,7 +28,7 @@
     REQUIRE(checkDeclarations(smallSet()).empty());
 }
 
-TEST_CASE("all findings of a set are reported together, each with its place")
+TEST_CASE("all findings of a set are reported together, each with its source location")
 {
     auto set = smallSet();
     set.artifacts[ArtifactName("austin")].base = ArtifactName("moon@1");
@@ -50,10 +50,10 @@
     REQUIRE_FALSE(resolveModel(set, "moon").has_value());
 }
 
-TEST_CASE("what arrives by another way than a file is checked as strictly")
+TEST_CASE("declarations that arrive by another way than a file are checked as strictly")
 {
-    // A typed call can carry what no file would: a name with a slash in it, a policy of zeros. In force, such a name could not be
-    // called, and such a policy would stop every load.
+    // A gRPC call can carry values that the file parser would reject: a name with a slash, a policy of zeros. If adopted, a service of that name
+    // could not be called, and the policy would stop all loads.
     auto set = smallSet();
     set.services[ServiceName("a/b")] = Service {.name = ServiceName("a/b")};
     set.services[ServiceName("ledger")]
--- a/tests/unit_logselection.cpp
+++ b/tests/unit_logselection.cpp
@@ -1,4 +1,4 @@
-// From a request's id to its cause, out of several hosts' logs.
+// Selection of the log lines that explain a request, from the logs of several hosts.
 #include "core/logselection.h"
 
 #include <catch2/catch.hpp>
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a request's lines come in order, with what was learnt of its targets and by its host")
+TEST_CASE("a request's lines come ordered by time, with lines about its targets and its host")
 {
     const auto lines = explain("q1");
     REQUIRE(lines.size() == 5);
@@ -49,13 +49,13 @@
     REQUIRE(lines[4].text == "part=request event=answered id=q1 status=502");
 }
 
-TEST_CASE("an id without a line finds nothing, the empty one too")
+TEST_CASE("an id that is in no line finds nothing, nor does the empty id")
 {
     REQUIRE(explain("q3").empty());
     REQUIRE(explain("").empty());
 }
 
-TEST_CASE("values are read by whole keys, quoted or not")
+TEST_CASE("values are found by the whole key, quoted or not")
 {
     REQUIRE(logValue(Log[4], "why") == "closed early");
     REQUIRE(logValue("t=1 grid=5 id=7", "id") == "7");
--- a/tests/unit_sharedusage.cpp
+++ b/tests/unit_sharedusage.cpp
@@ -1,5 +1,5 @@
-// Limits of client accounts over many gateways: one account that sends many times what it may, gateways that are cut off, wake up or start again. In virtual
-// time.
+// Limits of client accounts over many gateways: one account that sends many times its limit, and gateways that are partitioned, pause or restart.
+// In virtual time.
 #include "core/sharedusage.h"
 
 #include <catch2/catch.hpp>
@@ -17,8 +17,8 @@
 constexpr double Rate = 350000; ///< tokens a second
 constexpr double Burst = 350000;
 constexpr double WindowSeconds = 8;
-constexpr double Overshoot = 0.1;
-constexpr double Slack = 110000;
+constexpr double Overshoot = 0.1; ///< allowed share above the limit
+constexpr double Slack = 110000; ///< allowed tokens above the limit
 
 auto at(double seconds) -> TimePoint
 {
@@ -38,7 +38,7 @@
     double rate = Rate;
     double burst = Burst;
     double reportSeconds = 0.2; ///< between a gateway's reports
-    double urgentReportSeconds = 0.006; ///< likewise, while a report is urgent
+    double urgentReportSeconds = 0.006; ///< between a gateway's reports while one is urgent
 };
 
 /// Gateways that admit requests of one account and report to each other.
@@ -69,7 +69,7 @@
         one.start = EntryId(name(gateway) + "#" + std::to_string(++m_starts));
         one.pausedUntil = now;
     }
-    /// Plays until `to` with so many tokens asked for a second, over all gateways, in requests of two sizes.
+    /// Simulates the time span with requests of two sizes that ask for `tokensPerSecond` in total, spread over all gateways.
     auto step(double from, double to, double tokensPerSecond) -> void
     {
         constexpr double Small = 1100;
@@ -97,7 +97,7 @@
     {
         m_gateways.at(static_cast<std::size_t>(gateway)).isPartitioned = isPartitioned;
     }
-    /// The most that ran in any window.
+    /// The maximum of tokens admitted in any window.
     auto maxInWindow() const -> double
     {
         double sum = 0;
@@ -177,7 +177,7 @@
 
     FleetOptions m_options;
     std::vector<Gateway> m_gateways;
-    std::vector<std::pair<double, double>> m_admitted; ///< when, tokens
+    std::vector<std::pair<double, double>> m_admitted; ///< time and tokens of each admitted request
     std::mt19937 m_random {11};
     int m_starts = 0;
     int m_rejected = 0;
@@ -192,9 +192,9 @@
     CHECK(fleet.rejected() == 0);
 }
 
-TEST_CASE("an account that sends many times its limit gets its limit, no more and not much less")
+TEST_CASE("an account that sends many times its limit gets no more than the limit and not much less")
 {
-    // Guards against gateways that each admit what one of them has seen become free.
+    // Guards against several gateways that each admit a request against the same free capacity.
     for (const int gateways : {3, 24, 100}) {
         UsageFleet fleet({.gateways = gateways, .reportSeconds = std::max(0.2, gateways * 0.008), .urgentReportSeconds = gateways * 0.00025});
         fleet.step(0, 20, Rate * 4);
@@ -212,9 +212,9 @@
     CHECK(fleet.tokensAdmitted(4, 20) >= 0.85 * 16 * 29000);
 }
 
-TEST_CASE("gateways that are cut off from the others keep to their share of the limit")
+TEST_CASE("gateways that are partitioned from the others keep to their share of the limit")
 {
-    // Guards against a cut that doubles every limit, since neither side knows the other's use.
+    // Guards against a partition that doubles every limit, since neither side knows the other's usage.
     UsageFleet fleet({});
     fleet.step(0, 3, Rate * 0.5);
     for (int gateway = 0; gateway < 8; ++gateway) {
@@ -230,9 +230,9 @@
     CHECK(fleet.tokensAdmitted(20, 26) >= 0.8 * 6 * Rate);
 }
 
-TEST_CASE("gateways that were paused don't spend what the others have used meanwhile")
+TEST_CASE("gateways that were paused don't admit again what the others have admitted meanwhile")
 {
-    // Guards against a gateway that takes the time it slept for time in which nobody used the account.
+    // Guards against a gateway that refills its buckets for the time of its pause, as if nobody had used the account in that time.
     UsageFleet fleet({});
     fleet.step(0, 3, Rate * 4);
     for (int gateway = 0; gateway < 6; ++gateway) {
@@ -243,9 +243,9 @@
     CHECK(fleet.maxInWindow() <= fleet.limit());
 }
 
-TEST_CASE("gateways that start again one after the other, or all at once, don't start with full accounts")
+TEST_CASE("gateways that restart one after the other, or all at once, don't start with full buckets")
 {
-    // Guards against a rolling restart, or a loss of power, that gives an account its burst once for each start.
+    // Guards against a rolling restart, or a loss of power, that grants an account its burst once per start of a gateway.
     const bool isRolling = GENERATE(true, false);
     UsageFleet fleet({});
     fleet.step(0, 6, Rate * 4);
@@ -261,9 +261,9 @@
     CHECK(fleet.tokensAdmitted(17, 24) >= 0.85 * 7 * Rate);
 }
 
-TEST_CASE("a gateway that joins learns what is left of an account before it admits a burst of its own")
+TEST_CASE("a gateway that joins learns an account's level before it admits a burst")
 {
-    // Guards against added gateways that take a used up account for an unused one.
+    // Guards against a new gateway that treats an exhausted account as unused.
     SharedUsage veteran(at(0));
     veteran.setAccounts(hotAccount(), at(0));
     veteran.merge({"other", EntryId("other#1"), true, {}}, at(4.9));
@@ -276,7 +276,7 @@
     CHECK(newcomer.admit(AccountName("hot"), Burst / 2, at(5.9)).isAdmitted);
 }
 
-TEST_CASE("a lower limit holds from its version on")
+TEST_CASE("a lowered limit applies as soon as it is adopted")
 {
     SharedUsage usage(at(0));
     usage.setAccounts(hotAccount(), at(0));
@@ -288,9 +288,9 @@
     CHECK(verdict.availableIn == Duration::seconds(1));
 }
 
-TEST_CASE("a request larger than the whole burst is admitted when nothing else was")
+TEST_CASE("a request larger than the whole burst is admitted if the bucket is full")
 {
-    // Guards against a request that could never be served.
+    // Guards against requests that could never be served because they need more than a full bucket.
     SharedUsage usage(at(0));
     usage.setAccounts(hotAccount(1000, 1000), at(0));
     CHECK(usage.admit(AccountName("hot"), 5000, at(5)).isAdmitted);
