--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -9,9 +9,9 @@
 {
 
 constexpr std::size_t StartsKept = 256;
-constexpr std::size_t StartsToJudge = 4; ///< fewer tell nothing about a lane's pace
-constexpr auto LeastRetryAfter = Duration::millis(100);
-constexpr auto ServiceTimeIfUnknown = Duration::millis(10);
+constexpr std::size_t MinStartsForRate = 4; ///< fewer tell nothing about a lane's pace
+constexpr auto MinRetryAfter = Duration::millis(100);
+constexpr auto DefaultServiceTime = Duration::millis(10);
 
 } // namespace
 
@@ -52,7 +52,7 @@
 
 auto AdmissionQueue::waiting(const LaneName &lane) const -> std::size_t
 {
-    return ahead(lane, Priority::Batch);
+    return countAhead(lane, Priority::Batch);
 }
 
 auto AdmissionQueue::isWaiting(const RequestId &request) const -> bool
@@ -62,8 +62,8 @@
 
 auto AdmissionQueue::expectedWait(const LaneName &lane, Priority priority, TimePoint now) const -> Duration
 {
-    const auto perSecond = pace(lane, now);
-    const auto count = ahead(lane, priority);
+    const auto perSecond = startRate(lane, now);
+    const auto count = countAhead(lane, priority);
     return perSecond <= 0 || count == 0 ? Duration() : Duration::seconds(static_cast<double>(count) / perSecond);
 }
 
@@ -71,23 +71,23 @@
 {
     const auto wait = expectedWait(request.lane, request.priority, now);
     if (now + wait + request.serviceTime > request.deadline) {
-        return {AdmissionRefusal::TooLate, std::max(wait, LeastRetryAfter), "too-late wait-ms=" + std::to_string(wait.inMillis())};
+        return {AdmissionRefusal::TooLate, std::max(wait, MinRetryAfter), "too-late wait-ms=" + std::to_string(wait.inMillis())};
     }
-    const auto &ofService = m_ofService[request.service];
-    const auto mostOfService = static_cast<std::size_t>(static_cast<double>(m_options.most) * m_options.mostOfOneService);
-    if (m_requests.size() >= m_options.most || ofService >= mostOfService) {
-        return {AdmissionRefusal::QueueFull, std::max(wait, LeastRetryAfter), "queue-full waiting=" + std::to_string(m_requests.size())};
+    const auto &waitingOfService = m_countByService[request.service];
+    const auto maxOfService = static_cast<std::size_t>(static_cast<double>(m_options.maxWaiting) * m_options.maxServiceShare);
+    if (m_requests.size() >= m_options.maxWaiting || waitingOfService >= maxOfService) {
+        return {AdmissionRefusal::QueueFull, std::max(wait, MinRetryAfter), "queue-full waiting=" + std::to_string(m_requests.size())};
     }
     if (m_requests.contains(request.id)) {
         return {};
     }
     m_requests.emplace(request.id, request);
-    ++m_ofService[request.service];
-    auto &ofClass = m_classes[request.priority];
-    auto &queue = ofClass.services[request.service];
+    ++m_countByService[request.service];
+    auto &classQueue = m_classes[request.priority];
+    auto &queue = classQueue.services[request.service];
     if (queue.size == 0) {
         // A service that was idle doesn't collect credit for it; otherwise its next burst would shut out all others.
-        queue.virtualTime = std::max(queue.virtualTime, ofClass.virtualTime);
+        queue.virtualTime = std::max(queue.virtualTime, classQueue.virtualTime);
     }
     ++queue.size;
     queue.lanes[request.lane].insert(Key {request.deadline - request.serviceTime, request.deadline, request.id});
@@ -96,11 +96,11 @@
 
 auto AdmissionQueue::next(TimePoint now, const HasCapacity &hasCapacity) -> std::optional<RequestId>
 {
-    for (auto &[priority, ofClass] : m_classes) {
+    for (auto &[priority, classQueue] : m_classes) {
         ServiceQueue *best = nullptr;
         ServiceName bestService;
         const Key *bestKey = nullptr;
-        for (auto &[service, queue] : ofClass.services) {
+        for (auto &[service, queue] : classQueue.services) {
             if (best != nullptr && queue.virtualTime >= best->virtualTime) {
                 continue;
             }
@@ -121,15 +121,15 @@
             continue;
         }
         const auto request = m_requests.at(bestKey->id);
-        const auto cost = request.serviceTime.inMicros() > 0 ? request.serviceTime : ServiceTimeIfUnknown;
-        ofClass.virtualTime = best->virtualTime;
+        const auto cost = request.serviceTime.inMicros() > 0 ? request.serviceTime : DefaultServiceTime;
+        classQueue.virtualTime = best->virtualTime;
         best->virtualTime += cost.inSeconds() / share(bestService);
         auto &starts = m_starts[request.lane];
         starts.push_back(now);
         while (starts.size() > StartsKept || now - starts.front() > m_options.rateWindow) {
             starts.pop_front();
         }
-        takeOut(request);
+        dequeue(request);
         return request.id;
     }
     return std::nullopt;
@@ -154,7 +154,7 @@
     const auto found = m_requests.find(request);
     if (found != m_requests.end()) {
         const auto copy = found->second;
-        takeOut(copy);
+        dequeue(copy);
     }
 }
 
@@ -163,7 +163,7 @@
     m_shares[service] = weight;
 }
 
-auto AdmissionQueue::takeOut(const WaitingRequest &request) -> void
+auto AdmissionQueue::dequeue(const WaitingRequest &request) -> void
 {
     auto &queue = m_classes[request.priority].services[request.service];
     const auto lane = queue.lanes.find(request.lane);
@@ -172,8 +172,8 @@
         queue.lanes.erase(lane);
     }
     --queue.size;
-    if (--m_ofService[request.service] == 0) {
-        m_ofService.erase(request.service);
+    if (--m_countByService[request.service] == 0) {
+        m_countByService.erase(request.service);
     }
     const auto laneName = request.lane;
     m_requests.erase(request.id);
@@ -188,14 +188,14 @@
     return found == m_shares.end() ? 1.0 : found->second;
 }
 
-auto AdmissionQueue::ahead(const LaneName &lane, Priority priority) const -> std::size_t
+auto AdmissionQueue::countAhead(const LaneName &lane, Priority priority) const -> std::size_t
 {
     std::size_t count = 0;
-    for (const auto &[queued, ofClass] : m_classes) {
+    for (const auto &[queued, classQueue] : m_classes) {
         if (queued > priority) {
             break;
         }
-        for (const auto &[service, queue] : ofClass.services) {
+        for (const auto &[service, queue] : classQueue.services) {
             const auto found = queue.lanes.find(lane);
             count += found == queue.lanes.end() ? 0 : found->second.size();
         }
@@ -203,10 +203,10 @@
     return count;
 }
 
-auto AdmissionQueue::pace(const LaneName &lane, TimePoint now) const -> double
+auto AdmissionQueue::startRate(const LaneName &lane, TimePoint now) const -> double
 {
     const auto found = m_starts.find(lane);
-    if (found == m_starts.end() || found->second.size() < StartsToJudge) {
+    if (found == m_starts.end() || found->second.size() < MinStartsForRate) {
         return 0;
     }
     const auto span = std::max((now - found->second.front()).inSeconds(), 1e-3);
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -61,8 +61,8 @@
 };
 
 struct AdmissionOptions {
-    std::size_t most = 4096; ///< requests waiting in all
-    double mostOfOneService = 0.5; ///< of `most`
+    std::size_t maxWaiting = 4096; ///< requests waiting in all
+    double maxServiceShare = 0.5; ///< of `maxWaiting`
     Duration rateWindow = Duration::seconds(2); ///< over which the pace of a lane is measured
 };
 
@@ -111,16 +111,16 @@
         std::map<ServiceName, ServiceQueue> services;
         double virtualTime = 0; ///< of the service that was served last
     };
-    auto takeOut(const WaitingRequest &request) -> void;
+    auto dequeue(const WaitingRequest &request) -> void;
     auto share(const ServiceName &service) const -> double;
-    auto ahead(const LaneName &lane, Priority priority) const -> std::size_t;
-    auto pace(const LaneName &lane, TimePoint now) const -> double;
+    auto countAhead(const LaneName &lane, Priority priority) const -> std::size_t;
+    auto startRate(const LaneName &lane, TimePoint now) const -> double;
 
     AdmissionOptions m_options;
     std::map<Priority, ClassQueue> m_classes;
     std::unordered_map<RequestId, WaitingRequest> m_requests;
     std::map<ServiceName, double> m_shares;
-    std::map<ServiceName, std::size_t> m_ofService;
+    std::map<ServiceName, std::size_t> m_countByService;
     std::map<LaneName, std::deque<TimePoint>> m_starts; ///< recent ones while the lane had a queue
 };
 
--- a/src/core/cellkeeper.cpp
+++ b/src/core/cellkeeper.cpp
@@ -77,8 +77,8 @@
 
 auto CellKeeper::choose(const std::set<std::string> &live, TimePoint now) -> bool
 {
-    if (m_keeper != m_self && !m_keeper.empty() && now - m_receivedAt >= m_options.silence) {
-        m_avoidUntil[m_keeper] = now + m_options.avoidFor;
+    if (m_keeper != m_self && !m_keeper.empty() && now - m_receivedAt >= m_options.keeperTimeout) {
+        m_avoidUntil[m_keeper] = now + m_options.avoidPeriod;
     }
     std::erase_if(m_avoidUntil, [&](const auto &avoided) { return now >= avoided.second; });
     const auto mayKeep = [&](const CellMember &member) {
--- a/src/core/cellkeeper.h
+++ b/src/core/cellkeeper.h
@@ -28,8 +28,8 @@
 };
 
 struct CellKeeperOptions {
-    Duration silence = Duration::millis(700); ///< without a sum from the keeper, until the next one is chosen: fourteen of its periods
-    Duration avoidFor = Duration::seconds(3); ///< a keeper that was silent
+    Duration keeperTimeout = Duration::millis(700); ///< without a sum from the keeper, until the next one is chosen: fourteen of its periods
+    Duration avoidPeriod = Duration::seconds(3); ///< a keeper that was silent
 };
 
 // [SECTION] CellKeeper
--- a/src/core/cellload.cpp
+++ b/src/core/cellload.cpp
@@ -12,9 +12,9 @@
 {
 
 /// Of own reports that no sum has included: a keeper that is lost for longer has its sums begun anew.
-constexpr std::size_t MostOwnReports = 64;
+constexpr std::size_t MaxOwnReports = 64;
 /// Failures travel in whole percents.
-constexpr double SameFailures = 0.011;
+constexpr double FailureTolerance = 0.011;
 
 } // namespace
 
@@ -50,9 +50,9 @@
     }
     known = {report.work, now};
     known.work.prefilled.clear();
-    m_read.insert(m_read.end(), report.work.prefilled.begin(), report.work.prefilled.end());
+    m_prefilled.insert(m_prefilled.end(), report.work.prefilled.begin(), report.work.prefilled.end());
     for (const auto &sent : report.prefill) {
-        m_prefill[sent.target] = m_prefill[sent.target] + sent.prefill;
+        m_sentPrefill[sent.target] = m_sentPrefill[sent.target] + sent.prefill;
     }
 }
 
@@ -93,12 +93,12 @@
     for (const auto &[id, target] : targets) {
         cell.targets.push_back(target);
     }
-    for (const auto &[target, prefill] : m_prefill) {
+    for (const auto &[target, prefill] : m_sentPrefill) {
         cell.prefill.push_back({target, prefill});
     }
-    cell.read = std::move(m_read);
-    m_read.clear();
-    m_prefill.clear();
+    cell.prefilled = std::move(m_prefilled);
+    m_prefilled.clear();
+    m_sentPrefill.clear();
     return cell;
 }
 
@@ -116,17 +116,17 @@
         own.work[work.target] = work;
     }
     m_reports.push_back(std::move(own));
-    if (m_reports.size() > MostOwnReports) {
+    if (m_reports.size() > MaxOwnReports) {
         m_reports.pop_front();
     }
 }
 
-auto OwnReports::othersOf(const CellLoad &cell) -> GatewayLoad
+auto OwnReports::withoutOwn(const CellLoad &cell) -> GatewayLoad
 {
     GatewayLoad others;
     others.work.entry = cell.keeper;
     others.work.sequence = cell.sequence;
-    others.work.prefilled = cell.read;
+    others.work.prefilled = cell.prefilled;
     const auto included = cell.reported.find(m_self);
     const std::uint64_t upTo = included == cell.reported.end() ? 0 : included->second;
     std::map<TargetId, Duration> ownPrefill;
@@ -153,7 +153,7 @@
             for (std::size_t band = 0; band < UrgencyBands; ++band) {
                 work.pendingPrefill.at(band) = std::max(work.pendingPrefill.at(band) - own->second.pendingPrefill.at(band), Duration());
             }
-            work.failures = own->second.failures + SameFailures >= work.failures ? target.nextFailures : work.failures;
+            work.failures = own->second.failures + FailureTolerance >= work.failures ? target.nextFailures : work.failures;
             work.isEjected = target.ejections > (own->second.isEjected ? 1 : 0);
         }
         others.work.work.push_back(work);
--- a/src/core/cellload.h
+++ b/src/core/cellload.h
@@ -43,7 +43,7 @@
     std::uint64_t sequence = 0; ///< rises
     std::vector<CellTargetLoad> targets;
     std::vector<SentPrefill> prefill; ///< reported since the last sum
-    std::vector<std::pair<TargetId, PromptChain>> read; ///< likewise
+    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< likewise
     std::map<EntryId, std::uint64_t> reported; ///< by gateway, the last of its reports that is included
 };
 
@@ -76,8 +76,8 @@
     Duration m_lifetime;
     std::uint64_t m_sequence = 0;
     std::map<EntryId, Report> m_reports;
-    std::map<TargetId, Duration> m_prefill; ///< since the last sum
-    std::vector<std::pair<TargetId, PromptChain>> m_read; ///< likewise
+    std::map<TargetId, Duration> m_sentPrefill; ///< since the last sum
+    std::vector<std::pair<TargetId, PromptChain>> m_prefilled; ///< likewise
 };
 
 // [SECTION] OwnReports
@@ -90,7 +90,7 @@
     /// Keeps a report that was sent, until a sum includes a later one.
     auto sent(const GatewayLoad &report) -> void;
     /// The other gateways' part of a sum, as one report of its keeper. Each sum is to be given once, in order.
-    auto othersOf(const CellLoad &cell) -> GatewayLoad;
+    auto withoutOwn(const CellLoad &cell) -> GatewayLoad;
 
 private:
     struct Report {
--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -41,7 +41,7 @@
 
 constexpr double MicrosPerMilli = 1000;
 constexpr double MillisPerSecond = 1000;
-constexpr auto MostBacklogToLearn = Duration::millis(5); // beyond, a first token says little of its own prompt
+constexpr auto MaxBacklogToLearn = Duration::millis(5); // beyond, a first token says little of its own prompt
 
 auto fromMillis(double millis) -> Duration
 {
@@ -105,7 +105,7 @@
     std::map<std::pair<TargetId, std::string>, int> runningByModel; ///< own sends without an end, by target and model
     PeerLoads peerLoads;
     PrefillPace pace;
-    std::map<ServiceName, double> plainMillis;
+    std::map<ServiceName, double> plainServiceMillis;
     std::map<TargetId, double> newPrefill; ///< milliseconds, not reported yet
     RequestCost requestCost;
     std::vector<std::pair<TargetId, PromptChain>> newlyPrefilled;
@@ -116,29 +116,29 @@
         const auto found = engines.find(service);
         return found == engines.end() ? nullptr : &found->second;
     }
-    auto plainTime(const ServiceName &service) const -> double
+    auto plainServiceTime(const ServiceName &service) const -> double
     {
-        const auto found = plainMillis.find(service);
-        return found == plainMillis.end() ? toMillis(options.plainTime) : found->second;
+        const auto found = plainServiceMillis.find(service);
+        return found == plainServiceMillis.end() ? toMillis(options.plainServiceTime) : found->second;
     }
     auto estimate(const DispatchRequest &request, const TargetId &id, const TargetState &state, TimePoint now) const -> Estimate;
-    auto estimateRunner(const DispatchRequest &request, const TargetState &state, const PeerWork &rest, Estimate &made, TimePoint now) const -> void;
-    auto stallOf(const TargetState &state, double prefill, Duration pauseGoal, TimePoint now) const -> double;
-    auto slotWait(const TargetState &state, const PeerWork &rest, int slots, UrgencyBand band) const -> double;
-    auto estimatePlain(const DispatchRequest &request, const TargetState &state, const PeerWork &rest, Estimate &made, TimePoint now) const -> void;
+    auto estimateRunner(const DispatchRequest &request, const TargetState &state, const PeerWork &peers, Estimate &estimate, TimePoint now) const -> void;
+    auto stallMillis(const TargetState &state, double prefill, Duration pauseGoal, TimePoint now) const -> double;
+    auto slotWait(const TargetState &state, const PeerWork &peers, int slots, UrgencyBand band) const -> double;
+    auto estimatePlain(const DispatchRequest &request, const TargetState &state, const PeerWork &peers, Estimate &estimate, TimePoint now) const -> void;
     auto reportedFailures(const TargetId &id, const TargetState &state, TimePoint now) const -> double;
     auto isEjected(const TargetId &id, const TargetState &state, TimePoint now) const -> bool;
     auto isEjectedHere(const TargetState &state, TimePoint now) const -> bool;
     auto observeCost(const Send &send, const TargetState &state, std::size_t bytes, TimePoint now) -> void;
-    auto drawPlain(std::vector<Estimate> &estimates, TimePoint now) const -> void;
-    auto addRankPenalty(const DispatchRequest &request, std::vector<Estimate> &estimates) const -> void;
+    auto sampleCandidates(std::vector<Estimate> &estimates, TimePoint now) const -> void;
+    auto applyRankBonus(const DispatchRequest &request, std::vector<Estimate> &estimates) const -> void;
 };
 
 Dispatcher::Dispatcher(DispatchOptions options)
     : d(std::make_unique<Private>())
 {
     d->options = std::move(options);
-    d->peerLoads = PeerLoads(d->options.workLifetime);
+    d->peerLoads = PeerLoads(d->options.digestLifetime);
     d->pace = PrefillPace(d->options.pace);
 }
 
@@ -233,7 +233,7 @@
 /// By own experience: until its time is over, and then until the one request that is tried has come through.
 auto Dispatcher::Private::isEjectedHere(const TargetState &state, TimePoint now) const -> bool
 {
-    return state.health.isEjected(now) || (state.health.isOnTrial() && sends.contains(state.health.trial().value()));
+    return state.health.isEjected(now) || (state.health.needsProbe() && sends.contains(state.health.probe().value()));
 }
 
 /// Others' experience counts as long as there is none here that is newer: with many entries each would otherwise lose some requests to find out.
@@ -251,132 +251,132 @@
 // [SECTION] Choosing
 
 /// Until a slot in a full runner's batch is free for a request of that band: streams end one after the other, and those that wait and are as urgent go first.
-auto Dispatcher::Private::slotWait(const TargetState &state, const PeerWork &rest, int slots, UrgencyBand band) const -> double
+auto Dispatcher::Private::slotWait(const TargetState &state, const PeerWork &peers, int slots, UrgencyBand band) const -> double
 {
     const double eachMillis = std::max(requestCost.prefillSeconds() * MillisPerSecond, 1.0);
     const auto waiting = [&](UrgencyBand upToBand) {
-        return state.prefillQueue.waiting(upToBand) + upTo(rest.pendingPrefill, upToBand) / eachMillis;
+        return state.prefillQueue.waiting(upToBand) + pendingUpTo(peers.pendingPrefill, upToBand) / eachMillis;
     };
-    const double streams = state.running + rest.running - waiting(UrgencyBand::Patient);
+    const double streams = state.running + peers.running - waiting(UrgencyBand::Patient);
     const double lacking = waiting(band) + 1 - std::max(slots - streams, 0.0);
     return std::max(lacking, 0.0) * requestCost.slotSeconds() * MillisPerSecond;
 }
 
 /// Prefill beyond what the runner's streams bear between two events, in milliseconds.
-auto Dispatcher::Private::stallOf(const TargetState &state, double prefill, Duration pauseGoal, TimePoint now) const -> double
+auto Dispatcher::Private::stallMillis(const TargetState &state, double prefill, Duration pauseGoal, TimePoint now) const -> double
 {
     return std::max(state.recent.within(pauseGoal, now) + prefill - toMillis(pauseGoal) * options.prefillShare, 0.0);
 }
 
-auto Dispatcher::Private::estimateRunner(const DispatchRequest &request, const TargetState &state, const PeerWork &rest, Estimate &made, TimePoint now) const
-    -> void
+auto Dispatcher::Private::estimateRunner(
+    const DispatchRequest &request, const TargetState &state, const PeerWork &peers, Estimate &estimate, TimePoint now) const -> void
 {
     const auto *engine = engineOf(request.service);
-    made.othersPrefill = upTo(rest.pendingPrefill, UrgencyBand::Patient) > 0;
-    made.prefillTokens = std::max(request.promptTokens - state.cache.cachedTokens(request.prompt), 0);
+    estimate.othersPrefill = pendingUpTo(peers.pendingPrefill, UrgencyBand::Patient) > 0;
+    estimate.prefillTokens = std::max(request.promptTokens - state.cache.cachedTokens(request.prompt), 0);
     const auto own = state.prefillQueue.byBand(now);
     const auto before = [&](UrgencyBand band) {
-        return upTo(own, band) + upTo(rest.pendingPrefill, band);
+        return pendingUpTo(own, band) + pendingUpTo(peers.pendingPrefill, band);
     };
     double backlog = before(request.band);
     const double patient = before(UrgencyBand::Patient) - backlog;
-    const auto inMemory = state.tokens + rest.tokens + request.promptTokens + request.outputTokens;
+    const auto inMemory = state.tokens + peers.tokens + request.promptTokens + request.outputTokens;
     const int slots = engine == nullptr ? state.description.slots : engine->slots;
     // Without memory the request waits until others end, or has them thrown out and prefilled again.
-    constexpr double FullMillis = 1000;
+    constexpr double MemoryFullMillis = 1000;
     if (engine != nullptr && inMemory > engine->kvTokens) {
-        backlog += FullMillis * static_cast<double>(inMemory - engine->kvTokens) / std::max(engine->kvTokens, 1);
+        backlog += MemoryFullMillis * static_cast<double>(inMemory - engine->kvTokens) / std::max(engine->kvTokens, 1);
     }
-    backlog += slotWait(state, rest, slots, request.band);
-    const double patientWait = slotWait(state, rest, slots, UrgencyBand::Patient) - slotWait(state, rest, slots, request.band);
+    backlog += slotWait(state, peers, slots, request.band);
+    const double patientWait = slotWait(state, peers, slots, UrgencyBand::Patient) - slotWait(state, peers, slots, request.band);
     const double perToken = pace.millisPerToken(request.model) * state.health.slowness(now);
-    const double prefill = made.prefillTokens * perToken;
-    made.backlog = fromMillis(backlog);
-    made.first = made.backlog + fromMillis(prefill + pace.firstStepMillis(request.model));
-    made.ifPatient = made.first + fromMillis(patient + patientWait);
-    made.cost = backlog + prefill + stallOf(state, prefill, request.pauseGoal, now);
-    if (request.promptTokens >= options.deepPrompt && made.prefillTokens >= options.deepPrompt / 2) {
-        made.cost += toMillis(options.stalledStream) * (state.running + rest.running);
+    const double prefill = estimate.prefillTokens * perToken;
+    estimate.backlog = fromMillis(backlog);
+    estimate.first = estimate.backlog + fromMillis(prefill + pace.firstStepMillis(request.model));
+    estimate.ifPatient = estimate.first + fromMillis(patient + patientWait);
+    estimate.cost = backlog + prefill + stallMillis(state, prefill, request.pauseGoal, now);
+    if (request.promptTokens >= options.longPromptTokens && estimate.prefillTokens >= options.longPromptTokens / 2) {
+        estimate.cost += toMillis(options.stallPenaltyPerStream) * (state.running + peers.running);
     }
 }
 
-auto Dispatcher::Private::estimatePlain(const DispatchRequest &request, const TargetState &state, const PeerWork &rest, Estimate &made, TimePoint now) const
-    -> void
+auto Dispatcher::Private::estimatePlain(
+    const DispatchRequest &request, const TargetState &state, const PeerWork &peers, Estimate &estimate, TimePoint now) const -> void
 {
-    const double time = plainTime(request.service) * state.health.slowness(now);
+    const double time = plainServiceTime(request.service) * state.health.slowness(now);
     const double slots = std::max(state.description.slots, 1);
     // Calls that others had under way when they reported have ended one after the other since.
-    const double before = state.running + rest.running * std::exp(-rest.ageMillis / std::max(time, 1.0));
+    const double before = state.running + peers.running * std::exp(-peers.ageMillis / std::max(time, 1.0));
     const double wait = std::max(before + 1 - slots, 0.0) / slots * time;
     constexpr double LoadShare = 0.25; // of the service time: an emptier target is a little quicker also below its slots
-    made.backlog = fromMillis(wait);
-    made.first = fromMillis(wait + time);
-    made.cost = wait + time * (1 + LoadShare * before / slots);
+    estimate.backlog = fromMillis(wait);
+    estimate.first = fromMillis(wait + time);
+    estimate.cost = wait + time * (1 + LoadShare * before / slots);
 }
 
 auto Dispatcher::Private::estimate(const DispatchRequest &request, const TargetId &id, const TargetState &state, TimePoint now) const -> Estimate
 {
-    Estimate made;
-    made.target = id;
-    made.state = &state;
-    const auto rest = peerLoads.work(id, now);
+    Estimate estimate;
+    estimate.target = id;
+    estimate.state = &state;
+    const auto peers = peerLoads.work(id, now);
     if (request.model.empty()) {
-        estimatePlain(request, state, rest, made, now);
+        estimatePlain(request, state, peers, estimate, now);
     } else {
-        estimateRunner(request, state, rest, made, now);
+        estimateRunner(request, state, peers, estimate, now);
     }
     if (state.description.zone != options.zone) {
-        made.cost += toMillis(options.otherZone);
+        estimate.cost += toMillis(options.otherZonePenalty);
     }
     if (options.isConnected && !options.isConnected(state.description.address)) {
-        made.cost += toMillis(options.newConnection);
+        estimate.cost += toMillis(options.newConnectionPenalty);
     }
-    made.cost += toMillis(state.description.warmupRemaining) > 0 ? made.cost : 0; // still slow after its start
-    return made;
+    estimate.cost += toMillis(state.description.warmupRemaining) > 0 ? estimate.cost : 0; // still slow after its start
+    return estimate;
 }
 
 /// Where a prompt's shared prefix is prefilled if no runner is known to have it cached: all entries rank the runners alike.
-auto Dispatcher::Private::addRankPenalty(const DispatchRequest &request, std::vector<Estimate> &estimates) const -> void
+auto Dispatcher::Private::applyRankBonus(const DispatchRequest &request, std::vector<Estimate> &estimates) const -> void
 {
     if (request.prompt.size() < 2) {
         return;
     }
     const auto &shared = request.prompt[request.prompt.size() - 2];
     const auto subject = std::to_string(shared.hash);
-    const auto score = [&](const Estimate &made) {
-        return rendezvousScore(subject, made.target.text());
+    const auto score = [&](const Estimate &estimate) {
+        return rendezvousScore(subject, estimate.target.text());
     };
     const auto first = std::max_element(estimates.begin(), estimates.end(), [&](const Estimate &a, const Estimate &b) { return score(a) < score(b); });
     const double perToken = pace.millisPerToken(request.model);
     const int sharedTokens = request.promptTokens - request.prompt.back().tokens;
-    for (auto &made : estimates) {
-        const int sharedPrefill = std::clamp(made.prefillTokens - request.prompt.back().tokens, 0, sharedTokens);
-        const bool isFirst = made.target == first->target;
-        made.cost -= isFirst ? options.unknownShare * sharedPrefill * perToken : 0;
+    for (auto &estimate : estimates) {
+        const int sharedPrefill = std::clamp(estimate.prefillTokens - request.prompt.back().tokens, 0, sharedTokens);
+        const bool isFirst = estimate.target == first->target;
+        estimate.cost -= isFirst ? options.unreportedHitProbability * sharedPrefill * perToken : 0;
     }
 }
 
 /// A plain request lasts for less than the age of what is known of the other entries' sends. If all chose the target that looked emptiest, they
 /// would fill it together and leave the others idle; among two drawn at random, the better one spreads their requests.
-auto Dispatcher::Private::drawPlain(std::vector<Estimate> &estimates, TimePoint now) const -> void
+auto Dispatcher::Private::sampleCandidates(std::vector<Estimate> &estimates, TimePoint now) const -> void
 {
-    std::vector<Estimate> sound;
-    for (const auto &made : estimates) {
-        if (!isEjected(made.target, *made.state, now) && reportedFailures(made.target, *made.state, now) <= options.failuresToAvoid) {
-            sound.push_back(made);
+    std::vector<Estimate> healthy;
+    for (const auto &estimate : estimates) {
+        if (!isEjected(estimate.target, *estimate.state, now) && reportedFailures(estimate.target, *estimate.state, now) <= options.failureThreshold) {
+            healthy.push_back(estimate);
         }
     }
     const auto choices = static_cast<std::size_t>(options.plainChoices);
-    if (sound.size() <= choices) {
+    if (healthy.size() <= choices) {
         return;
     }
     const auto draw = std::to_string(options.seed + lastSend.value()) + "@" + std::to_string((now - TimePoint()).inMicros());
     const auto isBefore = [&](const Estimate &a, const Estimate &b) {
         return rendezvousScore(draw, a.target.text()) < rendezvousScore(draw, b.target.text());
     };
-    std::sort(sound.begin(), sound.end(), isBefore);
-    sound.resize(choices);
-    estimates = std::move(sound);
+    std::sort(healthy.begin(), healthy.end(), isBefore);
+    healthy.resize(choices);
+    estimates = std::move(healthy);
 }
 
 auto Dispatcher::choose(const DispatchRequest &request, TimePoint now) const -> DispatchChoice
@@ -384,22 +384,22 @@
     DispatchChoice choice;
     choice.refusal = DispatchRefusal::NoTarget;
     std::vector<Estimate> estimates;
-    bool stays = false; // a copy of the model that isn't draining, with its adapter or not
+    bool hasStayingReplica = false; // a copy of the model that isn't draining, with its adapter or not
     for (const auto &[id, state] : d->targets) {
-        const auto &about = state.description;
-        if (about.service != request.service || about.isLeaving) {
+        const auto &description = state.description;
+        if (description.service != request.service || description.isLeaving) {
             continue;
         }
         bool isDraining = false;
         if (!request.model.empty()) {
-            const auto *held = about.model(request.model);
+            const auto *held = description.model(request.model);
             if (held == nullptr) {
                 choice.refusal = std::max(choice.refusal, DispatchRefusal::NotHeld);
                 continue;
             }
             isDraining = held->isDraining;
             const bool isExcluded = std::find(request.excluded.begin(), request.excluded.end(), id) != request.excluded.end();
-            stays = stays || (!isDraining && !isExcluded && !d->isEjected(id, state, now));
+            hasStayingReplica = hasStayingReplica || (!isDraining && !isExcluded && !d->isEjected(id, state, now));
             if (!request.adapter.empty() && !held->hasAdapter(request.adapter)) {
                 choice.refusal = std::max(choice.refusal, DispatchRefusal::AdapterMissing);
                 continue;
@@ -412,21 +412,21 @@
         estimates.push_back(d->estimate(request, id, state, now));
         estimates.back().isDraining = isDraining;
     }
-    if (stays && std::erase_if(estimates, [](const Estimate &made) { return made.isDraining; }) > 0 && estimates.empty()) {
+    if (hasStayingReplica && std::erase_if(estimates, [](const Estimate &estimate) { return estimate.isDraining; }) > 0 && estimates.empty()) {
         // The adapter is loaded beside a copy that stays, within milliseconds; sent where it is now, its requests would keep that copy from ever going.
         choice.refusal = DispatchRefusal::AdapterMissing;
     }
     if (estimates.empty()) {
         return choice;
     }
-    d->addRankPenalty(request, estimates);
-    const auto rank = [&](const Estimate &made) {
-        const bool isFailing = d->reportedFailures(made.target, *made.state, now) > d->options.failuresToAvoid;
-        return std::tuple(d->isEjected(made.target, *made.state, now), isFailing, made.cost);
+    d->applyRankBonus(request, estimates);
+    const auto rank = [&](const Estimate &estimate) {
+        const bool isFailing = d->reportedFailures(estimate.target, *estimate.state, now) > d->options.failureThreshold;
+        return std::tuple(d->isEjected(estimate.target, *estimate.state, now), isFailing, estimate.cost);
     };
     choice.candidates = static_cast<int>(estimates.size());
     if (request.model.empty() && d->peerLoads.hasFresh(now)) {
-        d->drawPlain(estimates, now);
+        d->sampleCandidates(estimates, now);
     }
     const auto best = std::min_element(estimates.begin(), estimates.end(), [&](const Estimate &a, const Estimate &b) { return rank(a) < rank(b); });
     choice.isLastResort = d->isEjected(best->target, *best->state, now);
@@ -450,27 +450,27 @@
         return d->lastSend;
     }
     auto &state = found->second;
-    const auto made = d->estimate(request, target, state, now);
+    const auto estimate = d->estimate(request, target, state, now);
     Send send;
     send.target = target;
     send.incarnation = state.description.incarnation;
     send.model = request.model;
     send.at = now;
-    send.expectedFirst = made.first;
-    send.backlog = made.backlog;
-    send.prefillTokens = made.prefillTokens;
+    send.expectedFirst = estimate.first;
+    send.backlog = estimate.backlog;
+    send.prefillTokens = estimate.prefillTokens;
     send.slowness = state.health.slowness(now);
     send.band = request.band;
     send.tokens = request.promptTokens + request.outputTokens;
     send.ownTokens = request.prompt.empty() ? request.promptTokens : request.prompt.back().tokens;
-    if (state.health.isOnTrial() && !d->isEjectedHere(state, now)) {
-        state.health.beginTrial(d->lastSend);
+    if (state.health.needsProbe() && !d->isEjectedHere(state, now)) {
+        state.health.beginProbe(d->lastSend);
     }
     ++state.running;
     state.tokens += send.tokens;
     if (!request.model.empty()) {
-        send.prefillMillis = made.prefillTokens * d->pace.millisPerToken(request.model) * state.health.slowness(now);
-        state.prefillQueue.add(d->lastSend, send.band, send.prefillMillis, !made.othersPrefill, now);
+        send.prefillMillis = estimate.prefillTokens * d->pace.millisPerToken(request.model) * state.health.slowness(now);
+        state.prefillQueue.add(d->lastSend, send.band, send.prefillMillis, !estimate.othersPrefill, now);
         state.recent.add(send.prefillMillis, now);
         d->newPrefill[target] += send.prefillMillis;
         state.cache.touch(request.prompt);
@@ -504,22 +504,22 @@
     }
     auto &state = target->second;
     state.prefillQueue.remove(id, now);
-    state.health.succeed(now);
+    state.health.recordSuccess(now);
     const auto took = toMillis(now - send.at);
     if (send.model.empty()) {
         return;
     }
-    if (send.backlog <= MostBacklogToLearn) {
+    if (send.backlog <= MaxBacklogToLearn) {
         d->pace.observe(send.model, send.prefillTokens, took);
     }
-    constexpr double LeastExpected = 20; // milliseconds; below, chance outweighs
-    state.health.observeSlowness(took / std::max(toMillis(send.expectedFirst) / send.slowness, LeastExpected), now);
+    constexpr double MinExpected = 20; // milliseconds; below, chance outweighs
+    state.health.observeSlowness(took / std::max(toMillis(send.expectedFirst) / send.slowness, MinExpected), now);
 }
 
 auto Dispatcher::Private::observeCost(const Send &send, const TargetState &state, std::size_t bytes, TimePoint now) -> void
 {
     const auto *engine = engineOf(state.description.service);
-    SeenAnswer answer;
+    ObservedAnswer answer;
     answer.prefill = fromMillis(send.ownTokens * pace.millisPerToken(send.model));
     answer.streaming = now - send.firstAt;
     answer.bytes = bytes;
@@ -550,19 +550,19 @@
         state.prefillQueue.remove(id, now);
     }
     if (result == SendResult::Delivered) {
-        state.health.succeed(now);
+        state.health.recordSuccess(now);
     }
-    if (result == SendResult::NoEntry) {
-        state.health.strike(now);
+    if (result == SendResult::NoAnswer) {
+        state.health.eject(now);
     }
-    if (result == SendResult::Delivered || result == SendResult::Failed || result == SendResult::NoEntry) {
+    if (result == SendResult::Delivered || result == SendResult::Failed || result == SendResult::NoAnswer) {
         state.health.observe(result != SendResult::Delivered, now);
     }
     if (result == SendResult::Delivered && !send.model.empty() && send.hasFirst) {
         d->observeCost(send, state, bytes, now);
     }
     if (result == SendResult::Delivered && send.model.empty()) {
-        auto &time = d->plainMillis.try_emplace(state.description.service, toMillis(d->options.plainTime)).first->second;
+        auto &time = d->plainServiceMillis.try_emplace(state.description.service, toMillis(d->options.plainServiceTime)).first->second;
         const double took = toMillis(now - send.at);
         time += (std::min(took, time * 4) - time) * d->options.learnRate;
         state.health.observeSlowness(took / std::max(time, 1.0), now);
@@ -573,7 +573,7 @@
 {
     const auto found = d->targets.find(target);
     if (found != d->targets.end()) {
-        found->second.health.strike(now);
+        found->second.health.eject(now);
     }
 }
 
@@ -588,10 +588,10 @@
     d->newlyPrefilled.clear();
     for (const auto &[id, state] : d->targets) {
         const double failures = state.health.failures(now);
-        constexpr double WorthReporting = 0.05;
+        constexpr double MinReportedFailures = 0.05;
         // Passed on for a while after its time: who detected it also tries whether it is well again.
-        const bool isEjected = d->isEjectedHere(state, now) || state.health.wasEjected(now, d->options.workLifetime);
-        if (state.running > 0 || failures > WorthReporting || isEjected) {
+        const bool isEjected = d->isEjectedHere(state, now) || state.health.wasEjected(now, d->options.digestLifetime);
+        if (state.running > 0 || failures > MinReportedFailures || isEjected) {
             TargetWork work {id, state.running, {}, state.tokens, failures, isEjected};
             const auto pending = state.prefillQueue.byBand(now);
             std::transform(pending.begin(), pending.end(), work.pendingPrefill.begin(), fromMillis);
@@ -634,9 +634,9 @@
     }
 }
 
-auto Dispatcher::entryGone(const EntryId &entry) -> void
+auto Dispatcher::gatewayGone(const EntryId &entry) -> void
 {
-    d->peerLoads.entryGone(entry);
+    d->peerLoads.gatewayGone(entry);
 }
 
 } // namespace KingCup
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -79,7 +79,7 @@
     Delivered,
     Rejected, ///< not run: full or leaving. Says nothing about health
     Failed, ///< cut off midway, or an error of the target
-    NoEntry, ///< the target broke off before it gave any answer: requests don't get through to it
+    NoAnswer, ///< the target broke off before it gave any answer: requests don't get through to it
     Cancelled, ///< by the client: says nothing about health
 };
 
@@ -87,23 +87,23 @@
 
 struct DispatchOptions {
     ZoneName zone; ///< this process's own
-    Duration otherZone = Duration::millis(4); ///< added to targets of other zones: there and back, and what the bytes between zones cost
+    Duration otherZonePenalty = Duration::millis(4); ///< added to targets of other zones: there and back, and what the bytes between zones cost
     std::function<bool(const Endpoint &address)> isConnected; ///< a kept connection could be used; none: not known
     /// Added to targets without one: some round trips, and a place of the few hundred that a target has.
-    Duration newConnection = Duration::millis(5);
+    Duration newConnectionPenalty = Duration::millis(5);
     PrefillPaceOptions pace;
-    Duration plainTime = Duration::millis(60); ///< of a plain service's request, until it was observed
+    Duration plainServiceTime = Duration::millis(60); ///< of a plain service's request, until it was observed
     /// Tokens. During the prefill of a prompt as long, half a second passes between two events of every stream there; where few run, few are stalled.
-    int deepPrompt = 18000;
-    Duration stalledStream = Duration::millis(60); ///< that such a prompt may wait longer elsewhere, for each stream that it would stall
+    int longPromptTokens = 18000;
+    Duration stallPenaltyPerStream = Duration::millis(60); ///< that such a prompt may wait longer elsewhere, for each stream that it would stall
     double prefillShare = 0.5; ///< of the longest pause aimed at, for prefill: the rest is taken by the steps of the streams
     int plainChoices = 2; ///< plain services: so many targets, drawn at random, are compared for each request
     std::uint64_t seed = 0; ///< of that draw; another one at each entry
     double learnRate = 0.1; ///< weight of one observation
-    double unknownShare = 0.4; ///< how likely an unreported prefix is cached at the runner that ranks first for it
+    double unreportedHitProbability = 0.4; ///< how likely an unreported prefix is cached at the runner that ranks first for it
     TargetHealthOptions health;
-    double failuresToAvoid = 0.5; ///< a target above this, and above the others, gets work only if nobody else can take it
-    Duration workLifetime = Duration::seconds(2); ///< a digest that is older no longer counts
+    double failureThreshold = 0.5; ///< a target above this, and above the others, gets work only if nobody else can take it
+    Duration digestLifetime = Duration::seconds(2); ///< a digest that is older no longer counts
 };
 
 // [SECTION] Dispatcher
@@ -150,7 +150,7 @@
     /// Also resets what was prefilled since the last call.
     auto takeDigest(const EntryId &self, TimePoint now) -> WorkDigest;
     auto merge(const WorkDigest &digest, TimePoint now) -> void;
-    auto entryGone(const EntryId &entry) -> void;
+    auto gatewayGone(const EntryId &entry) -> void;
     /// Resets what was sent since the last call. A digest is too old for this: what comes together comes within a few steps of an engine.
     auto takeSentPrefill() -> std::vector<SentPrefill>;
     auto merge(const std::vector<SentPrefill> &sent, TimePoint now) -> void;
--- a/src/core/loadmeter.cpp
+++ b/src/core/loadmeter.cpp
@@ -19,7 +19,7 @@
     if (m_perSecond <= 0) {
         return std::numeric_limits<int>::max();
     }
-    const auto recent = std::count_if(m_begun.begin(), m_begun.end(), [&](TimePoint at) { return now - at < m_window; });
+    const auto recent = std::count_if(m_recentLoads.begin(), m_recentLoads.end(), [&](TimePoint at) { return now - at < m_window; });
     // A holder that has only begun knows nothing of the loads before; its own part of the window grows with time.
     const double known = std::min((now - m_startedAt).inSeconds() / m_window.inSeconds(), 1.0);
     const double allowed = m_perSecond * m_window.inSeconds() * m_overshoot * known;
@@ -28,13 +28,13 @@
 
 auto LoadMeter::began(TimePoint now) -> void
 {
-    std::erase_if(m_begun, [&](TimePoint at) { return now - at >= m_window; });
-    m_begun.push_back(now);
+    std::erase_if(m_recentLoads, [&](TimePoint at) { return now - at >= m_window; });
+    m_recentLoads.push_back(now);
 }
 
-auto LoadMeter::takenOver(TimePoint now) -> void
+auto LoadMeter::reset(TimePoint now) -> void
 {
-    m_begun.clear();
+    m_recentLoads.clear();
     m_startedAt = now;
 }
 
--- a/src/core/loadmeter.h
+++ b/src/core/loadmeter.h
@@ -19,13 +19,13 @@
     auto available(TimePoint now) const -> int;
 
     auto began(TimePoint now) -> void;
-    auto takenOver(TimePoint now) -> void;
+    auto reset(TimePoint now) -> void;
 
 private:
     double m_perSecond = 0;
     Duration m_window = Duration::seconds(5);
     double m_overshoot = 1;
-    std::vector<TimePoint> m_begun;
+    std::vector<TimePoint> m_recentLoads;
     TimePoint m_startedAt;
 };
 
--- a/src/core/peerloads.cpp
+++ b/src/core/peerloads.cpp
@@ -102,7 +102,7 @@
     return true;
 }
 
-auto PeerLoads::entryGone(const EntryId &entry) -> void
+auto PeerLoads::gatewayGone(const EntryId &entry) -> void
 {
     std::erase_if(m_reports, [&](const auto &report) { return report.first == entry || hostOf(HolderName(report.first.text())) == entry.text(); });
 }
--- a/src/core/peerloads.h
+++ b/src/core/peerloads.h
@@ -74,7 +74,7 @@
     /// False if a later digest of that entry is known.
     auto merge(const WorkDigest &digest, TimePoint now) -> bool;
     /// `entry`: all starts of that process.
-    auto entryGone(const EntryId &entry) -> void;
+    auto gatewayGone(const EntryId &entry) -> void;
 
 private:
     struct Report {
--- a/src/core/prefillpace.cpp
+++ b/src/core/prefillpace.cpp
@@ -9,17 +9,17 @@
 {
 
 constexpr double MillisPerSecond = 1000;
-constexpr int LeastTokens = 400; // below, the step's time outweighs prefill
-constexpr int FewTokens = 200; // below, prefill hardly counts
-constexpr double LeastPerToken = 0.002;
-constexpr double MostPerToken = 0.2;
-constexpr double RateDown = 0.2;
-constexpr double RateUp = 0.01;
-constexpr double LeastStep = 2; // milliseconds; a round trip within a region
+constexpr int MinTokensForRate = 400; // below, the step's time outweighs prefill
+constexpr int MaxTokensForStep = 200; // below, prefill hardly counts
+constexpr double MinPerToken = 0.002;
+constexpr double MaxPerToken = 0.2;
+constexpr double WeightIfBelow = 0.2;
+constexpr double WeightIfAbove = 0.01;
+constexpr double MinStep = 2; // milliseconds; a round trip within a region
 
 auto approach(double &value, double seen) -> void
 {
-    value += (seen - value) * (seen < value ? RateDown : RateUp);
+    value += (seen - value) * (seen < value ? WeightIfBelow : WeightIfAbove);
 }
 
 } // namespace
@@ -43,13 +43,13 @@
 
 auto PrefillPace::observe(const std::string &model, int prefillTokens, double took) -> void
 {
-    if (prefillTokens < FewTokens) {
+    if (prefillTokens < MaxTokensForStep) {
         auto &step = m_firstStep.try_emplace(model, firstStepMillis(model)).first->second;
-        approach(step, std::max(took - prefillTokens * millisPerToken(model), LeastStep));
+        approach(step, std::max(took - prefillTokens * millisPerToken(model), MinStep));
     }
-    if (prefillTokens >= LeastTokens) {
+    if (prefillTokens >= MinTokensForRate) {
         auto &perToken = m_perToken.try_emplace(model, m_options.millisPerToken).first->second;
-        approach(perToken, std::clamp((took - firstStepMillis(model)) / prefillTokens, LeastPerToken, MostPerToken));
+        approach(perToken, std::clamp((took - firstStepMillis(model)) / prefillTokens, MinPerToken, MaxPerToken));
     }
 }
 
--- a/src/core/prefillqueue.cpp
+++ b/src/core/prefillqueue.cpp
@@ -6,23 +6,23 @@
 namespace KingCup
 {
 
-auto upTo(const BandMillis &pending, UrgencyBand band) -> double
+auto pendingUpTo(const BandMillis &pending, UrgencyBand band) -> double
 {
     return std::accumulate(pending.begin(), pending.begin() + static_cast<int>(band) + 1, 0.0);
 }
 
 /// One that takes longer than expected isn't done either: a tenth of it stays until its first token comes.
-auto PrefillQueue::Read::left(TimePoint now) const -> double
+auto PrefillQueue::PendingPrompt::left(TimePoint now) const -> double
 {
-    constexpr double LeastShare = 0.1;
+    constexpr double MinShare = 0.1;
     constexpr double MillisPerSecond = 1000;
-    return since ? std::max(millis - (now - *since).inSeconds() * MillisPerSecond, millis * LeastShare) : millis;
+    return since ? std::max(millis - (now - *since).inSeconds() * MillisPerSecond, millis * MinShare) : millis;
 }
 
 auto PrefillQueue::byBand(TimePoint now) const -> BandMillis
 {
     BandMillis sums {};
-    for (const auto &read : m_reads) {
+    for (const auto &read : m_prompts) {
         sums.at(static_cast<std::size_t>(read.since ? UrgencyBand::Urgent : read.band)) += read.left(now);
     }
     return sums;
@@ -30,21 +30,21 @@
 
 auto PrefillQueue::waiting(UrgencyBand band) const -> int
 {
-    return static_cast<int>(std::count_if(m_reads.begin(), m_reads.end(), [&](const Read &read) { return read.band <= band; }));
+    return static_cast<int>(std::count_if(m_prompts.begin(), m_prompts.end(), [&](const PendingPrompt &read) { return read.band <= band; }));
 }
 
-auto PrefillQueue::add(SendId send, UrgencyBand band, double millis, bool isNext, TimePoint now) -> void
+auto PrefillQueue::add(SendId send, UrgencyBand band, double millis, bool othersIdle, TimePoint now) -> void
 {
-    const bool isFirst = isNext && m_reads.empty();
-    m_reads.push_back({send, band, millis, isFirst ? std::optional(now) : std::nullopt});
+    const bool isFirst = othersIdle && m_prompts.empty();
+    m_prompts.push_back({send, band, millis, isFirst ? std::optional(now) : std::nullopt});
 }
 
 auto PrefillQueue::remove(SendId send, TimePoint now) -> void
 {
-    std::erase_if(m_reads, [&](const Read &read) { return read.send == send; });
-    const bool isActive = std::any_of(m_reads.begin(), m_reads.end(), [](const Read &read) { return read.since.has_value(); });
-    const auto next = std::min_element(m_reads.begin(), m_reads.end(), [](const Read &a, const Read &b) { return a.band < b.band; });
-    if (!isActive && next != m_reads.end()) {
+    std::erase_if(m_prompts, [&](const PendingPrompt &read) { return read.send == send; });
+    const bool isActive = std::any_of(m_prompts.begin(), m_prompts.end(), [](const PendingPrompt &read) { return read.since.has_value(); });
+    const auto next = std::min_element(m_prompts.begin(), m_prompts.end(), [](const PendingPrompt &a, const PendingPrompt &b) { return a.band < b.band; });
+    if (!isActive && next != m_prompts.end()) {
         next->since = now;
     }
 }
@@ -52,7 +52,7 @@
 auto RecentPrefill::within(Duration span, TimePoint now) const -> double
 {
     double sum = 0;
-    for (auto read = m_reads.rbegin(); read != m_reads.rend() && now - read->at < span; ++read) {
+    for (auto read = m_prompts.rbegin(); read != m_prompts.rend() && now - read->at < span; ++read) {
         sum += read->millis;
     }
     return sum;
@@ -61,8 +61,8 @@
 auto RecentPrefill::add(double millis, TimePoint now) -> void
 {
     constexpr auto Longest = Duration::seconds(1);
-    std::erase_if(m_reads, [&](const Read &read) { return now - read.at > Longest; });
-    m_reads.push_back({now, millis});
+    std::erase_if(m_prompts, [&](const PendingPrompt &read) { return now - read.at > Longest; });
+    m_prompts.push_back({now, millis});
 }
 
 } // namespace KingCup
--- a/src/core/prefillqueue.h
+++ b/src/core/prefillqueue.h
@@ -19,7 +19,7 @@
 using BandMillis = std::array<double, UrgencyBands>;
 
 /// Of the bands that go before or with `band`.
-auto upTo(const BandMillis &pending, UrgencyBand band) -> double;
+auto pendingUpTo(const BandMillis &pending, UrgencyBand band) -> double;
 
 class PrefillQueue
 {
@@ -30,8 +30,8 @@
     auto waiting(UrgencyBand band) const -> int; ///< sends without a first token, of the bands that go before or with `band`
 
     // Commands
-    /// `millis`: what it takes where nothing else is prefilled. `isNext`: as far as known, no other process has a prompt in prefill or waiting there.
-    auto add(SendId send, UrgencyBand band, double millis, bool isNext, TimePoint now) -> void;
+    /// `millis`: what it takes where nothing else is prefilled. `othersIdle`: as far as known, no other process has a prompt in prefill or waiting there.
+    auto add(SendId send, UrgencyBand band, double millis, bool othersIdle, TimePoint now) -> void;
     /// Prefilled, or cancelled; the next one by urgency, then by age, counts as in prefill.
     auto remove(SendId send, TimePoint now) -> void;
 
@@ -44,7 +44,7 @@
 
         auto left(TimePoint now) const -> double;
     };
-    std::vector<Read> m_reads; ///< oldest first
+    std::vector<Read> m_prompts; ///< oldest first
 };
 
 /// Prefill sent to one target within the last moments, done by now or not. An engine prefills between the steps of its streams, and between two events of a
@@ -62,7 +62,7 @@
         TimePoint at;
         double millis = 0;
     };
-    std::vector<Read> m_reads; ///< oldest first
+    std::vector<Read> m_prompts; ///< oldest first
 };
 
 } // namespace KingCup
--- a/src/core/requestcost.cpp
+++ b/src/core/requestcost.cpp
@@ -9,10 +9,10 @@
 {
 
 /// A shorter answer tells nothing of the pace: its last bytes may have come with its first.
-constexpr auto ShortestStream = Duration::millis(30);
+constexpr auto MinStreamDuration = Duration::millis(30);
 /// Answers that were quicker than thought count much more than those that were held up.
-constexpr double PaceDown = 0.2;
-constexpr double PaceUp = 0.01;
+constexpr double WeightIfFaster = 0.2;
+constexpr double WeightIfSlower = 0.01;
 
 } // namespace
 
@@ -31,16 +31,16 @@
     value += (seen - value) * std::max(rate, 1 / answers);
 }
 
-auto RequestCost::Model::learnPace(const SeenAnswer &answer) -> void
+auto RequestCost::Model::learnSecondsPerByte(const ObservedAnswer &answer) -> void
 {
-    if (answer.streaming < ShortestStream || answer.bytes == 0) {
+    if (answer.streaming < MinStreamDuration || answer.bytes == 0) {
         return;
     }
-    const double pace = answer.streaming.inSeconds() / static_cast<double>(answer.bytes);
+    const double perByte = answer.streaming.inSeconds() / static_cast<double>(answer.bytes);
     if (secondsPerByte == 0) {
-        secondsPerByte = pace;
+        secondsPerByte = perByte;
     }
-    secondsPerByte += (pace - secondsPerByte) * (pace < secondsPerByte ? PaceDown : PaceUp);
+    secondsPerByte += (perByte - secondsPerByte) * (perByte < secondsPerByte ? WeightIfFaster : WeightIfSlower);
 }
 
 auto RequestCost::Model::seconds() const -> double
@@ -69,13 +69,13 @@
     return m_slot.value;
 }
 
-auto RequestCost::observe(const std::string &model, const SeenAnswer &answer) -> void
+auto RequestCost::observe(const std::string &model, const ObservedAnswer &answer) -> void
 {
     auto &own = m_models[model];
     own.slots = std::max(answer.slots, 1);
     own.prefillSeconds.add(answer.prefill.inSeconds(), m_options.learnRate);
     own.bytes.add(static_cast<double>(answer.bytes), m_options.learnRate);
-    own.learnPace(answer);
+    own.learnSecondsPerByte(answer);
     m_all.add(own.seconds(), m_options.learnRate);
     m_prefill.add(answer.prefill.inSeconds(), m_options.learnRate);
     m_slot.add(answer.streaming.inSeconds() / own.slots, m_options.learnRate);
--- a/src/core/requestcost.h
+++ b/src/core/requestcost.h
@@ -26,7 +26,7 @@
 };
 
 /// One answer as it was seen.
-struct SeenAnswer {
+struct ObservedAnswer {
     Duration prefill; ///< of its own part of the prompt, where nothing else is prefilled
     Duration streaming; ///< from its first bytes to its last
     std::size_t bytes = 0;
@@ -44,7 +44,7 @@
     auto slotSeconds() const -> double; ///< between two streams that end on a full runner, over all models, as answers took
 
     // Commands
-    auto observe(const std::string &model, const SeenAnswer &answer) -> void;
+    auto observe(const std::string &model, const ObservedAnswer &answer) -> void;
 
 private:
     struct Mean {
@@ -59,7 +59,7 @@
         double secondsPerByte = 0; ///< of one stream among few; 0: not seen yet
         int slots = 1;
 
-        auto learnPace(const SeenAnswer &answer) -> void;
+        auto learnSecondsPerByte(const ObservedAnswer &answer) -> void;
         auto seconds() const -> double;
     };
     RequestCostOptions m_options;
--- a/src/core/retry.cpp
+++ b/src/core/retry.cpp
@@ -42,18 +42,18 @@
 auto RetryBudget::available(const ServiceName &service) const -> double
 {
     const auto found = m_tokens.find(service);
-    return found == m_tokens.end() ? m_options.most : found->second;
+    return found == m_tokens.end() ? m_options.maxTokens : found->second;
 }
 
 auto RetryBudget::requestSeen(const ServiceName &service) -> void
 {
-    auto &tokens = m_tokens.try_emplace(service, m_options.most).first->second;
-    tokens = std::min(m_options.most, tokens + m_options.perRequest);
+    auto &tokens = m_tokens.try_emplace(service, m_options.maxTokens).first->second;
+    tokens = std::min(m_options.maxTokens, tokens + m_options.earnedPerRequest);
 }
 
 auto RetryBudget::withdraw(const ServiceName &service) -> bool
 {
-    auto &tokens = m_tokens.try_emplace(service, m_options.most).first->second;
+    auto &tokens = m_tokens.try_emplace(service, m_options.maxTokens).first->second;
     if (tokens < 1) {
         return false;
     }
@@ -88,7 +88,7 @@
     if (!request.idempotent && end.outcome != AttemptOutcome::NotRun) {
         return giveUp(end, "may have run and must run once");
     }
-    if (request.attempts >= options.mostAttempts) {
+    if (request.attempts >= options.maxAttempts) {
         return giveUp(end, "attempts used up");
     }
     if (!isInTime(request, now)) {
--- a/src/core/retry.h
+++ b/src/core/retry.h
@@ -20,8 +20,8 @@
 // [SECTION] RetryBudget
 
 struct RetryBudgetOptions {
-    double perRequest = 0.1; ///< tokens that each first attempt earns: at most one retry in ten requests, lastingly
-    double most = 20; ///< tokens kept: the burst that a lost target may cause
+    double earnedPerRequest = 0.1; ///< tokens that each first attempt earns: at most one retry in ten requests, lastingly
+    double maxTokens = 20; ///< tokens kept: the burst that a lost target may cause
 };
 
 class RetryBudget
@@ -80,7 +80,7 @@
 };
 
 struct RetryOptions {
-    int mostAttempts = 4;
+    int maxAttempts = 4;
 };
 
 /// Draws from the budget if the decision is to try again after a failure. A definite refusal costs no token: the target did no work.
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -15,25 +15,25 @@
 namespace
 {
 
-constexpr int LimitIfUnknown = 16;
-constexpr auto ServiceTimeIfUnknown = Duration::millis(200);
-constexpr auto LongestEjection = Duration::seconds(30);
-constexpr double CostPerCompanion = 0.02; ///< each running request slows the others by about this share of a decode step
-constexpr double LeastWeight = 0.05; ///< while it comes back, a target still gets a little, so that its state shows
+constexpr int DefaultLimit = 16;
+constexpr auto DefaultServiceTime = Duration::millis(200);
+constexpr auto MaxEjection = Duration::seconds(30);
+constexpr double SlowdownPerRunningRequest = 0.02; ///< each running request slows the others by about this share of a decode step
+constexpr double MinWeight = 0.05; ///< while it comes back, a target still gets a little, so that its state shows
 constexpr double StaleWeight = 0.3;
-constexpr double RecentShare = 0.1; ///< weight of one observation in a running mean
-constexpr double SlownessShare = 0.05;
-constexpr double SlowFrom = 1.5; ///< a target is taken to be slow from this many times the usual service time; below it is chance
-constexpr double HopelessShare = 0.6; ///< a request is too late if even this share of the estimate misses the deadline
+constexpr double MeanWeight = 0.1; ///< weight of one observation in a running mean
+constexpr double SlownessWeight = 0.05;
+constexpr double SlownessThreshold = 1.5; ///< a target is taken to be slow from this many times the usual service time; below it is chance
+constexpr double MinEstimateShare = 0.6; ///< a request is too late if even this share of the estimate misses the deadline
 constexpr double InteractiveHeadroom = 1.25; ///< interactive requests may exceed the limit by this factor, the agent puts them first
-constexpr auto RetrySoon = Duration::millis(50);
-constexpr std::size_t EndsKept = 256;
+constexpr auto NoTargetRetryDelay = Duration::millis(50);
+constexpr std::size_t MaxEndsKept = 256;
 
 struct Health {
     int failures = 0; ///< in a row
     int ejections = 0; ///< since the last success in full weight
     TimePoint ejectedUntil;
-    TimePoint slowFrom; ///< when it came back
+    TimePoint slowStartAt; ///< when it came back
     bool isSlowStarting = false;
 };
 
@@ -53,8 +53,8 @@
     std::vector<TimePoint> ends; ///< of those that started before the report and ended after it
     Health health;
     double slowness = 1; ///< mean of its service times over those of the same class anywhere
-    double promptTokens = 0; ///< sent by this process and not yet read by the engine, at `promptsAt`
-    TimePoint promptsAt;
+    double promptTokens = 0; ///< sent by this process and not yet read by the engine, at `promptTokensAt`
+    TimePoint promptTokensAt;
 };
 
 /// Requests whose service times are alike.
@@ -117,14 +117,14 @@
     RoutingOptions options;
     std::mt19937_64 random;
     std::map<TargetId, TargetState> targets;
-    std::uint64_t turn = 0;
-    std::map<RequestClassName, double> classMicros; ///< mean service times seen by this process
+    std::uint64_t roundRobinTurn = 0;
+    std::map<RequestClassName, double> classServiceMicros; ///< mean service times seen by this process
 
     auto isEligible(const TargetState &state, const ServiceName &service, const std::vector<ArtifactName> &artifacts, TimePoint now) const -> bool;
     auto load(const TargetState &state) const -> int;
     auto limit(const TargetState &state) const -> int;
     auto capacity(const TargetState &state, Priority priority, TimePoint now) const -> int;
-    auto hasTooMuchPrefill(const TargetState &state, Priority priority, TimePoint now) const -> bool;
+    auto exceedsPrefillBacklog(const TargetState &state, Priority priority, TimePoint now) const -> bool;
     auto weight(const TargetState &state, TimePoint now) const -> double;
     auto serviceTime(const TargetState &state, Priority priority) const -> Duration;
     auto expected(const TargetState &state, Priority priority, TimePoint now) const -> Duration;
@@ -167,12 +167,12 @@
 
 auto Router::Private::limit(const TargetState &state) const -> int
 {
-    return state.load && state.load->concurrencyLimit > 0 ? state.load->concurrencyLimit : LimitIfUnknown;
+    return state.load && state.load->concurrencyLimit > 0 ? state.load->concurrencyLimit : DefaultLimit;
 }
 
 /// Long prompts of lower classes go one at a time. Sent as they come they keep the engine reading for seconds, and every interactive request that
 /// meets them there has its first token late; kept in our queue they wait in order of deadline while interactive ones pass.
-auto Router::Private::hasTooMuchPrefill(const TargetState &state, Priority priority, TimePoint now) const -> bool
+auto Router::Private::exceedsPrefillBacklog(const TargetState &state, Priority priority, TimePoint now) const -> bool
 {
     if (!options.countsPrompts || priority == Priority::Interactive) {
         return false;
@@ -182,7 +182,7 @@
 
 auto Router::Private::capacity(const TargetState &state, Priority priority, TimePoint now) const -> int
 {
-    if (hasTooMuchPrefill(state, priority, now)) {
+    if (exceedsPrefillBacklog(state, priority, now)) {
         return 0;
     }
     auto most = static_cast<double>(limit(state));
@@ -201,32 +201,32 @@
     }
     double result = 1;
     if (state.health.isSlowStarting) {
-        const auto since = (now - state.health.slowFrom).inSeconds();
-        result = std::clamp(since / std::max(options.slowStart.inSeconds(), 1e-6), LeastWeight, 1.0);
+        const auto since = (now - state.health.slowStartAt).inSeconds();
+        result = std::clamp(since / std::max(options.slowStart.inSeconds(), 1e-6), MinWeight, 1.0);
     }
     // Failures short of an ejection shed load gradually: one broken stream halves the share, the next quarters it.
     result *= std::pow(0.5, state.health.failures);
     if (now - state.reportAt > options.staleAfter) {
         result *= StaleWeight;
     }
-    return std::max(result, LeastWeight);
+    return std::max(result, MinWeight);
 }
 
 auto Router::Private::serviceTime(const TargetState &state, Priority priority) const -> Duration
 {
     // Means are kept over all targets: the few requests that one target served last differ more by their length than by the target. A target
     // that is slow itself shows in the ratio.
-    const auto seen = classMicros.find({state.service, priority});
-    const double slowness = state.slowness > SlowFrom ? state.slowness : 1.0;
-    if (seen != classMicros.end()) {
+    const auto seen = classServiceMicros.find({state.service, priority});
+    const double slowness = state.slowness > SlownessThreshold ? state.slowness : 1.0;
+    if (seen != classServiceMicros.end()) {
         return Duration::micros(static_cast<std::int64_t>(seen->second * slowness));
     }
-    return state.load && state.load->serviceTime.inMicros() > 0 ? state.load->serviceTime : ServiceTimeIfUnknown;
+    return state.load && state.load->serviceTime.inMicros() > 0 ? state.load->serviceTime : DefaultServiceTime;
 }
 
 auto Router::Private::prefillTokens(const TargetState &state, TimePoint now) const -> double
 {
-    return std::max(0.0, state.promptTokens - (now - state.promptsAt).inSeconds() * options.promptTokensPerSecond);
+    return std::max(0.0, state.promptTokens - (now - state.promptTokensAt).inSeconds() * options.promptTokensPerSecond);
 }
 
 auto Router::Private::expected(const TargetState &state, Priority priority, TimePoint now) const -> Duration
@@ -235,14 +235,14 @@
     const int most = limit(state);
     const auto own = serviceTime(state, priority);
     const auto others = state.load && state.load->serviceTime.inMicros() > 0 ? state.load->serviceTime : own;
-    const auto running = own * (1.0 + CostPerCompanion * std::min(inSystem, most));
+    const auto running = own * (1.0 + SlowdownPerRunningRequest * std::min(inSystem, most));
     const int ahead = std::max(0, inSystem + 1 - most);
     const auto waiting = others * (static_cast<double>(ahead) / most);
-    const auto travel = state.zone == options.zone ? Duration() : options.zoneDistance;
+    const auto zonePenalty = state.zone == options.zone ? Duration() : options.otherZonePenalty;
     // An engine reads prompts one after the other. A short request behind a review of 4,000 tokens gets its first token a second later,
     // though the target runs few requests: load alone doesn't show it.
-    const auto reading = options.countsPrompts ? Duration::seconds(prefillTokens(state, now) / options.promptTokensPerSecond) : Duration();
-    return running + waiting + travel + reading;
+    const auto prefillTime = options.countsPrompts ? Duration::seconds(prefillTokens(state, now) / options.promptTokensPerSecond) : Duration();
+    return running + waiting + zonePenalty + prefillTime;
 }
 
 auto Router::Private::candidates(const RoutingRequest &request, TimePoint now, RoutingChoice &refusal) -> std::vector<Candidate>
@@ -251,7 +251,7 @@
     std::size_t holding = 0;
     std::size_t notExcluded = 0;
     std::size_t withCapacity = 0;
-    Duration soonest = LongestEjection;
+    Duration soonest = MaxEjection;
     for (auto &[id, state] : targets) {
         if (!isEligible(state, request.service, request.artifacts, now)) {
             continue;
@@ -268,7 +268,7 @@
             continue;
         }
         ++withCapacity;
-        if (options.strategy == RoutingStrategy::Objective && now + candidate.expected * HopelessShare > request.deadline) {
+        if (options.strategy == RoutingStrategy::Objective && now + candidate.expected * MinEstimateShare > request.deadline) {
             continue;
         }
         result.push_back(candidate);
@@ -278,7 +278,7 @@
             : notExcluded == 0         ? RoutingRefusal::AllExcluded
             : withCapacity == 0        ? RoutingRefusal::Overloaded
                                        : RoutingRefusal::TooLate;
-        refusal.expected = holding == 0 || notExcluded == 0 ? RetrySoon : soonest;
+        refusal.expected = holding == 0 || notExcluded == 0 ? NoTargetRetryDelay : soonest;
         std::ostringstream reason;
         reason << toString(refusal.refusal) << " holders=" << holding << " not-excluded=" << notExcluded << " with-capacity=" << withCapacity;
         refusal.reason = reason.str();
@@ -350,7 +350,7 @@
     for (const auto &candidate : list) {
         total += candidate.load;
     }
-    const auto bound = std::ceil(options.affinityBound * total / static_cast<double>(list.size()));
+    const auto bound = std::ceil(options.affinityMaxLoadRatio * total / static_cast<double>(list.size()));
     const auto soonest
         = std::min_element(list.begin(), list.end(), [](const auto &left, const auto &right) { return left.expected < right.expected; })->expected;
     std::vector<const Candidate *> order;
@@ -362,7 +362,7 @@
         return rendezvousScore(request.prefixHash, left->id.text()) > rendezvousScore(request.prefixHash, right->id.text());
     });
     for (const auto *candidate : order) {
-        if (candidate->load + 1 <= bound && candidate->weight == 1 && candidate->expected <= soonest + options.affinitySaving) {
+        if (candidate->load + 1 <= bound && candidate->weight == 1 && candidate->expected <= soonest + options.affinityMaxDelay) {
             return candidate;
         }
     }
@@ -372,11 +372,11 @@
 auto Router::Private::pick(const RoutingRequest &request, std::vector<Candidate> &list) -> RoutingChoice
 {
     if (options.strategy == RoutingStrategy::RoundRobin) {
-        return accept(list[turn++ % list.size()], list.size(), "round-robin");
+        return accept(list[roundRobinTurn++ % list.size()], list.size(), "round-robin");
     }
-    if (options.strategy == RoutingStrategy::LeastLoaded || request.alone) {
+    if (options.strategy == RoutingStrategy::LeastLoaded || request.prefersIdle) {
         const auto &least = *std::min_element(list.begin(), list.end(), [](const auto &left, const auto &right) { return left.load < right.load; });
-        return accept(least, list.size(), request.alone ? "suspect-alone" : "least-loaded");
+        return accept(least, list.size(), request.prefersIdle ? "suspect-alone" : "least-loaded");
     }
     if (!request.stickyKey.empty()) {
         return accept(preferredByHash(request.stickyKey, list), list.size(), "first-by-key");
@@ -474,7 +474,7 @@
     // that is sent to it, so its share grows over the slow start.
     if (!isNew && !state.isUp) {
         state.health.isSlowStarting = true;
-        state.health.slowFrom = now;
+        state.health.slowStartAt = now;
     }
     state.zone = zone;
     state.service = service;
@@ -514,7 +514,7 @@
     }
     if (state.load && load.engineGeneration != state.load->engineGeneration) {
         state.health.isSlowStarting = true;
-        state.health.slowFrom = now;
+        state.health.slowStartAt = now;
     }
     state.load = load;
     state.reportAt = now;
@@ -530,7 +530,7 @@
     auto &state = found->second;
     state.sent[request.id] = Sent {now, request.priority};
     state.promptTokens = d->prefillTokens(state, now) + request.promptTokens;
-    state.promptsAt = now;
+    state.promptTokensAt = now;
 }
 
 auto Router::requestEnded(const RequestId &request, const TargetId &target, AttemptResult result, TimePoint now) -> void
@@ -546,17 +546,17 @@
     }
     const auto sent = entry->second;
     state.sent.erase(entry);
-    if (sent.at <= state.reportAt && state.ends.size() < EndsKept) {
+    if (sent.at <= state.reportAt && state.ends.size() < MaxEndsKept) {
         state.ends.push_back(now);
     }
     auto &health = state.health;
     if (result == AttemptResult::Delivered) {
-        auto &mean = d->classMicros[{state.service, sent.priority}];
+        auto &mean = d->classServiceMicros[{state.service, sent.priority}];
         const auto micros = std::max(1.0, static_cast<double>((now - sent.at).inMicros()));
-        mean = mean == 0 ? micros : mean + RecentShare * (micros - mean);
-        state.slowness += SlownessShare * (micros / mean - state.slowness);
+        mean = mean == 0 ? micros : mean + MeanWeight * (micros - mean);
+        state.slowness += SlownessWeight * (micros / mean - state.slowness);
         health.failures = 0;
-        const bool recovered = health.isSlowStarting && now - health.slowFrom > d->options.slowStart;
+        const bool recovered = health.isSlowStarting && now - health.slowStartAt > d->options.slowStart;
         if (recovered) {
             health.isSlowStarting = false;
             health.ejections = 0;
@@ -568,9 +568,9 @@
     }
     ++health.failures;
     if (health.failures >= d->options.failuresToEject) {
-        const auto pause = std::min(d->options.ejection * std::pow(2.0, health.ejections), LongestEjection);
+        const auto pause = std::min(d->options.firstEjection * std::pow(2.0, health.ejections), MaxEjection);
         health.ejectedUntil = now + pause;
-        health.slowFrom = health.ejectedUntil;
+        health.slowStartAt = health.ejectedUntil;
         health.isSlowStarting = true;
         health.failures = 0;
         ++health.ejections;
--- a/src/core/routing.h
+++ b/src/core/routing.h
@@ -54,7 +54,7 @@
     TimePoint deadline;
     Priority priority = Priority::Standard;
     std::vector<TargetId> excluded; ///< already tried
-    bool alone = false; ///< a suspect: prefers an idle target
+    bool prefersIdle = false; ///< a suspect: prefers an idle target
 };
 
 // [SECTION] Output
@@ -101,15 +101,15 @@
     RoutingStrategy strategy = RoutingStrategy::Objective;
     ZoneName zone; ///< this process's own
     std::uint64_t seed = 1; ///< of the random draws
-    Duration zoneDistance = Duration::millis(2); ///< added to the estimate of targets in other zones: there and back
+    Duration otherZonePenalty = Duration::millis(2); ///< added to the estimate of targets in other zones: there and back
     Duration staleAfter = Duration::seconds(2); ///< a report older than this makes a target less likely
     Duration deadAfter = Duration::seconds(6); ///< and than this, ineligible
     Duration slowStart = Duration::seconds(10); ///< from its return until a target gets its full share
-    Duration ejection = Duration::seconds(2); ///< first pause after repeated failures; doubles up to 30 s
+    Duration firstEjection = Duration::seconds(2); ///< first pause after repeated failures; doubles up to 30 s
     int failuresToEject = 3; ///< in a row
     double batchShare = 0.7; ///< of a target's limit that batch requests may fill
-    double affinityBound = 1.25; ///< a preferred target may have this many times the mean load
-    Duration affinitySaving = Duration::millis(50); ///< a preferred target may be expected to take this much longer than the best
+    double affinityMaxLoadRatio = 1.25; ///< a preferred target may have this many times the mean load
+    Duration affinityMaxDelay = Duration::millis(50); ///< a preferred target may be expected to take this much longer than the best
     double promptTokensPerSecond = 4500; ///< that an engine reads beside decoding
     double standardBacklog = 1000; ///< unread prompt tokens beyond which a target gets no further standard request
     double batchBacklog = 100; ///< and no batch request
--- a/src/core/targethealth.cpp
+++ b/src/core/targethealth.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr double MostSlowness = 10;
+constexpr double MaxSlowness = 10;
 constexpr double SlownessHalfLife = 3; // seconds; a runner that crashed or was disturbed is well again after a few
 constexpr double SlownessRate = 0.15; // weight of one observation: some ten requests tell a slow target from an unlucky one
 constexpr double FailureRate = 0.3; // likewise; three failures in a row bring a sound target over the bound
@@ -36,22 +36,22 @@
 
 auto TargetHealth::isEjected(TimePoint now) const -> bool
 {
-    return m_strikes > 0 && now < m_ejectedUntil;
+    return m_ejections > 0 && now < m_ejectedUntil;
 }
 
 auto TargetHealth::wasEjected(TimePoint now, Duration ago) const -> bool
 {
-    return m_strikes > 0 && now < m_ejectedUntil + ago;
+    return m_ejections > 0 && now < m_ejectedUntil + ago;
 }
 
-auto TargetHealth::isOnTrial() const -> bool
+auto TargetHealth::needsProbe() const -> bool
 {
-    return m_strikes > 0;
+    return m_ejections > 0;
 }
 
-auto TargetHealth::trial() const -> SendId
+auto TargetHealth::probe() const -> SendId
 {
-    return m_trial;
+    return m_probe;
 }
 
 auto TargetHealth::succeededAt() const -> TimePoint
@@ -61,7 +61,7 @@
 
 auto TargetHealth::observeSlowness(double ratio, TimePoint now) -> void
 {
-    m_slowness = slowness(now) + (std::clamp(ratio, 1.0, MostSlowness) - slowness(now)) * SlownessRate;
+    m_slowness = slowness(now) + (std::clamp(ratio, 1.0, MaxSlowness) - slowness(now)) * SlownessRate;
     m_slownessAt = now;
 }
 
@@ -71,24 +71,24 @@
     m_failuresAt = now;
 }
 
-auto TargetHealth::strike(TimePoint now) -> void
+auto TargetHealth::eject(TimePoint now) -> void
 {
     if (now < m_ejectedUntil) {
         return; // sent before it was known
     }
-    m_ejectedUntil = now + std::min(m_options.firstEjection * std::exp2(m_strikes), m_options.longestEjection);
-    ++m_strikes;
+    m_ejectedUntil = now + std::min(m_options.firstEjection * std::exp2(m_ejections), m_options.longestEjection);
+    ++m_ejections;
 }
 
-auto TargetHealth::succeed(TimePoint now) -> void
+auto TargetHealth::recordSuccess(TimePoint now) -> void
 {
-    m_strikes = 0;
+    m_ejections = 0;
     m_succeededAt = now;
 }
 
-auto TargetHealth::beginTrial(SendId send) -> void
+auto TargetHealth::beginProbe(SendId send) -> void
 {
-    m_trial = send;
+    m_probe = send;
 }
 
 } // namespace KingCup
--- a/src/core/targethealth.h
+++ b/src/core/targethealth.h
@@ -25,16 +25,16 @@
     auto slowness(TimePoint now) const -> double; ///< observed over expected time; 1 again some seconds after the last observation
     auto isEjected(TimePoint now) const -> bool; ///< until its time is over; see trial()
     auto wasEjected(TimePoint now, Duration ago) const -> bool; ///< now, or until so long ago, without a success since
-    auto isOnTrial() const -> bool; ///< no success since the last strike
-    auto trial() const -> SendId; ///< 0: none
+    auto needsProbe() const -> bool; ///< no success since the last strike
+    auto probe() const -> SendId; ///< 0: none
     auto succeededAt() const -> TimePoint;
 
     // Commands
     auto observeSlowness(double ratio, TimePoint now) -> void;
     auto observe(bool isFailure, TimePoint now) -> void;
-    auto strike(TimePoint now) -> void;
-    auto succeed(TimePoint now) -> void;
-    auto beginTrial(SendId send) -> void;
+    auto eject(TimePoint now) -> void;
+    auto recordSuccess(TimePoint now) -> void;
+    auto beginProbe(SendId send) -> void;
 
 private:
     TargetHealthOptions m_options;
@@ -42,9 +42,9 @@
     TimePoint m_slownessAt;
     double m_failures = 0;
     TimePoint m_failuresAt;
-    int m_strikes = 0; ///< in a row
+    int m_ejections = 0; ///< in a row
     TimePoint m_ejectedUntil;
-    SendId m_trial;
+    SendId m_probe;
     TimePoint m_succeededAt;
 };
 
--- a/src/core/targetview.cpp
+++ b/src/core/targetview.cpp
@@ -13,7 +13,7 @@
 
 auto TargetView::isSettled(TimePoint now) const -> bool
 {
-    return !m_hadTrouble || now - m_troubleAt >= m_options.settleTime;
+    return !m_wasUnreachable || now - m_unreachableAt >= m_options.settleTime;
 }
 
 auto TargetView::find(const TargetId &target) const -> const TargetDescription *
@@ -27,29 +27,29 @@
     return m_targets;
 }
 
-auto TargetView::trouble(TimePoint now) -> void
+auto TargetView::storeUnreachable(TimePoint now) -> void
 {
-    m_hadTrouble = true;
-    m_troubleAt = now;
+    m_wasUnreachable = true;
+    m_unreachableAt = now;
 }
 
-auto TargetView::row(const TargetDescription &description, TimePoint /*now*/) -> TargetChanges
+auto TargetView::rowReceived(const TargetDescription &description, TimePoint /*now*/) -> TargetChanges
 {
     m_missing.erase(description.incarnation.id);
     m_targets[description.incarnation.id] = description;
     return {.seen = {description}, .gone = {}};
 }
 
-auto TargetView::rowsGo(std::size_t count, TimePoint now) -> bool
+auto TargetView::detectMassRemoval(std::size_t count, TimePoint now) -> bool
 {
-    const bool isTooMany = count > 1 && static_cast<double>(count) > m_options.mostAtOnce * static_cast<double>(m_targets.size());
+    const bool isTooMany = count > 1 && static_cast<double>(count) > m_options.maxLossShare * static_cast<double>(m_targets.size());
     if (isTooMany) {
-        trouble(now);
+        storeUnreachable(now);
     }
     return isTooMany;
 }
 
-auto TargetView::rowGone(const TargetId &target, TimePoint now) -> TargetChanges
+auto TargetView::rowRemoved(const TargetId &target, TimePoint now) -> TargetChanges
 {
     const auto found = m_targets.find(target);
     if (found == m_targets.end()) {
--- a/src/core/targetview.h
+++ b/src/core/targetview.h
@@ -17,7 +17,7 @@
 
 struct TargetViewOptions {
     Duration settleTime = Duration::millis(2300); ///< after trouble: targets are back within two seconds, and their rows have to arrive
-    double mostAtOnce = 0.5; ///< of the targets may go at one moment and be believed: one zone of three or more holds less
+    double maxLossShare = 0.5; ///< of the targets may go at one moment and be believed: one zone of three or more holds less
 };
 
 struct TargetChanges {
@@ -35,14 +35,14 @@
     auto targets() const -> const std::map<TargetId, TargetDescription> &;
 
     /// The store wasn't reached.
-    auto trouble(TimePoint now) -> void;
-    auto row(const TargetDescription &description, TimePoint now) -> TargetChanges;
+    auto storeUnreachable(TimePoint now) -> void;
+    auto rowReceived(const TargetDescription &description, TimePoint now) -> TargetChanges;
     /// So many known targets' rows go at one moment. Most targets don't: a store that was away drops the rows of all that it couldn't hear, and
     /// they are back within two seconds. Without this, every caller is refused that long wherever its absence wasn't noticed before. True if
     /// that is taken for trouble.
-    auto rowsGo(std::size_t count, TimePoint now) -> bool;
+    auto detectMassRemoval(std::size_t count, TimePoint now) -> bool;
     /// The row is gone, or names no target any more.
-    auto rowGone(const TargetId &target, TimePoint now) -> TargetChanges;
+    auto rowRemoved(const TargetId &target, TimePoint now) -> TargetChanges;
     /// Another gateway knows that it leaves. Another start under the same id is another target.
     auto reportedLeaving(const TargetIncarnation &target, TimePoint now) -> TargetChanges;
     /// It isn't at its address any more, whatever its row says.
@@ -53,8 +53,8 @@
     TargetViewOptions m_options;
     std::map<TargetId, TargetDescription> m_targets;
     std::set<TargetId> m_missing; ///< rows that went during trouble
-    TimePoint m_troubleAt;
-    bool m_hadTrouble = false;
+    TimePoint m_unreachableAt;
+    bool m_wasUnreachable = false;
 };
 
 } // namespace KingCup
--- a/src/entry/requestflows.cpp
+++ b/src/entry/requestflows.cpp
@@ -96,7 +96,7 @@
         : parts(flowParts)
         , settings(std::move(flowSettings))
         , hooks(std::move(flowHooks))
-        , queue(AdmissionOptions {.most = static_cast<std::size_t>(settings.maxQueue)})
+        , queue(AdmissionOptions {.maxWaiting = static_cast<std::size_t>(settings.maxQueue)})
     {
     }
 
@@ -246,7 +246,7 @@
     routing.deadline = flow.deadline;
     routing.priority = flow.request.priority;
     routing.excluded = flow.excluded;
-    routing.alone = flow.runsAlone;
+    routing.prefersIdle = flow.runsAlone;
     return routing;
 }
 
--- a/src/gateway/digests.cpp
+++ b/src/gateway/digests.cpp
@@ -164,7 +164,7 @@
         message->add_next_failures(static_cast<std::uint32_t>(target.nextFailures * Percent));
         message->add_ejections(static_cast<std::uint32_t>(target.ejections));
     }
-    writeRead(cell.read, *message->mutable_read());
+    writeRead(cell.prefilled, *message->mutable_read());
     writePrefill(cell.prefill, *message->mutable_prefill());
     for (const auto &[gateway, sequence] : cell.reported) {
         message->add_reporter(shortName(gateway.text()));
@@ -185,7 +185,7 @@
         }
     }
     cell.prefill = prefillOf(message.prefill(), names);
-    cell.read = readOf(message.read(), names);
+    cell.prefilled = readOf(message.read(), names);
     const auto ownName = shortName(self.text());
     for (int i = 0; i < std::min(message.reporter_size(), message.reported_size()); ++i) {
         if (message.reporter(i) == ownName) {
--- a/src/gateway/forwardedanswer.cpp
+++ b/src/gateway/forwardedanswer.cpp
@@ -202,7 +202,7 @@
 {
     const bool neverSent = end.end == CallEnd::NotSent;
     const bool hadNoEntry = !m_hasHead && !end.wasReused;
-    closeSend(neverSent ? SendResult::Rejected : hadNoEntry ? SendResult::NoEntry : SendResult::Failed);
+    closeSend(neverSent ? SendResult::Rejected : hadNoEntry ? SendResult::NoAnswer : SendResult::Failed);
     m_owner.parts.log.line("attempt", neverSent ? "not-connected" : "broken")
         .add("id", m_traits.attempt.text())
         .add("target", m_target.text())
--- a/src/gateway/forwardedrequest.cpp
+++ b/src/gateway/forwardedrequest.cpp
@@ -303,7 +303,7 @@
     }
     std::exchange(m_call, nullptr)->cancel();
     ++m_mayHaveRun;
-    closeSend(SendResult::NoEntry);
+    closeSend(SendResult::NoAnswer);
     m_request.excluded.push_back(m_target);
     sendAgain();
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -489,7 +489,7 @@
         return frames;
     };
     hooks.onSilent = [this](const std::string &id) {
-        dispatcher.entryGone(EntryId(id));
+        dispatcher.gatewayGone(EntryId(id));
     };
     peers = std::make_unique<GatewayPeers>(loop, log, peerSettings, std::move(hooks));
     LoadExchangeSettings loadSettings;
--- a/src/gateway/loadexchange.cpp
+++ b/src/gateway/loadexchange.cpp
@@ -123,11 +123,11 @@
         return; // received through two relays
     }
     if (cell.keeper != lastKeeper) {
-        parts.dispatcher.entryGone(lastKeeper);
+        parts.dispatcher.gatewayGone(lastKeeper);
         lastKeeper = cell.keeper;
     }
     lastSum = cell.sequence;
-    const auto rest = ownReports.othersOf(cell);
+    const auto rest = ownReports.withoutOwn(cell);
     parts.dispatcher.merge(rest.work, parts.loop.now());
     parts.dispatcher.merge(rest.prefill, parts.loop.now());
 }
--- a/src/gateway/ordertask.cpp
+++ b/src/gateway/ordertask.cpp
@@ -248,7 +248,7 @@
         }
         asked.restart();
         for (auto &[service, meter] : meters) {
-            meter.takenOver(now());
+            meter.reset(now());
         }
         hooks.onHolder();
     } else {
--- a/src/gateway/targetdirectory.cpp
+++ b/src/gateway/targetdirectory.cpp
@@ -33,11 +33,11 @@
     for (const auto &row : rows) {
         const auto target = row.isRemoved ? std::nullopt : m_parts.protocol.decodeTarget(row.key, row.value);
         if (target) {
-            apply(m_view.row(*target, m_parts.loop.now()));
+            apply(m_view.rowReceived(*target, m_parts.loop.now()));
             continue;
         }
         m_parts.log.line("targets", row.isRemoved ? "row-removed" : "row-unreadable").add("target", row.key).add("version", row.version.value());
-        apply(m_view.rowGone(TargetId(row.key), m_parts.loop.now()));
+        apply(m_view.rowRemoved(TargetId(row.key), m_parts.loop.now()));
     }
 }
 
@@ -47,14 +47,14 @@
         return row.isRemoved && m_view.find(TargetId(row.key)) != nullptr;
     };
     const auto going = std::count_if(rows.begin(), rows.end(), isKnown);
-    if (m_view.rowsGo(static_cast<std::size_t>(going), m_parts.loop.now())) {
+    if (m_view.detectMassRemoval(static_cast<std::size_t>(going), m_parts.loop.now())) {
         m_parts.log.line("targets", "mass-loss-doubted").add("removed", std::int64_t {going}).add("known", static_cast<std::uint64_t>(m_view.targets().size()));
     }
 }
 
 auto TargetDirectory::storeLost() -> void
 {
-    m_view.trouble(m_parts.loop.now());
+    m_view.storeUnreachable(m_parts.loop.now());
 }
 
 auto TargetDirectory::reportedLeaving(const TargetIncarnation &target) -> void
--- a/tests/unit_admission.cpp
+++ b/tests/unit_admission.cpp
@@ -113,7 +113,7 @@
 
 TEST_CASE("the queue is bounded, in all and for one service")
 {
-    AdmissionQueue queue({.most = 100, .mostOfOneService = 0.6});
+    AdmissionQueue queue({.maxWaiting = 100, .maxServiceShare = 0.6});
     int taken = 0;
     for (int i = 0; i < 100; ++i) {
         taken += queue.offer(waiting("a" + std::to_string(i), Advisory, Priority::Standard, 30), at(0)).isRefused() ? 0 : 1;
@@ -136,7 +136,7 @@
 {
     const auto seed = GENERATE(range(1U, 21U));
     std::mt19937 random(seed);
-    AdmissionQueue queue({.most = 60});
+    AdmissionQueue queue({.maxWaiting = 60});
     std::map<RequestId, int> seen;
     int accepted = 0;
     for (int i = 0; i < 2000; ++i) {
@@ -195,7 +195,7 @@
 
 TEST_CASE("retries are bounded by time and by the service's budget")
 {
-    RetryBudget budget({.perRequest = 0.1, .most = 5});
+    RetryBudget budget({.earnedPerRequest = 0.1, .maxTokens = 5});
     const RequestFacts request {.service = Advisory, .deadline = at(10), .expectedService = Duration::seconds(1)};
     const AttemptEnd broken {.outcome = AttemptOutcome::Unknown};
     REQUIRE(decideRetry(request, broken, budget, at(9.5)).action == RetryAction::SayUnknown);
--- a/tests/unit_cellload.cpp
+++ b/tests/unit_cellload.cpp
@@ -130,9 +130,9 @@
     const auto first = sum.take(at(0.1));
     const auto second = sum.take(at(0.2));
     CHECK(first.prefill.size() == 1);
-    CHECK(first.read.size() == 1);
+    CHECK(first.prefilled.size() == 1);
     CHECK(second.prefill.empty());
-    CHECK(second.read.empty());
+    CHECK(second.prefilled.empty());
     CHECK(second.targets.size() == 1);
 }
 
@@ -148,7 +148,7 @@
         }
     }
     sum.merge(report("b", 1, {work("r1", 10, 30)}, 7), at(0));
-    const auto others = own.othersOf(sum.take(at(0.1)));
+    const auto others = own.withoutOwn(sum.take(at(0.1)));
     CHECK(find(others.work.work, "r1").running == 10);
     CHECK(find(others.work.work, "r1").pendingPrefill.at(0) == Duration::millis(30));
     REQUIRE(others.prefill.size() == 1);
@@ -157,7 +157,7 @@
 
     // The same report is included again: its prefill was already taken off.
     sum.merge(report("b", 2, {work("r1", 10)}, 7), at(0.2));
-    const auto next = own.othersOf(sum.take(at(0.2)));
+    const auto next = own.withoutOwn(sum.take(at(0.2)));
     CHECK(find(next.work.work, "r1").running == 10);
     REQUIRE(next.prefill.size() == 1);
     CHECK(next.prefill[0].prefill == Duration::millis(7));
@@ -176,14 +176,14 @@
     auto better = work("r1", 1);
     better.failures = 0.1;
     sum.merge(report("b", 1, {better}), at(0));
-    const auto alone = find(own.othersOf(sum.take(at(0.1))).work.work, "r1");
+    const auto alone = find(own.withoutOwn(sum.take(at(0.1))).work.work, "r1");
     CHECK(alone.failures == Approx(0.1));
     CHECK_FALSE(alone.isEjected);
 
     auto alsoEjected = better;
     alsoEjected.isEjected = true;
     sum.merge(report("b", 2, {alsoEjected}), at(0.2));
-    CHECK(find(own.othersOf(sum.take(at(0.2))).work.work, "r1").isEjected);
+    CHECK(find(own.withoutOwn(sum.take(at(0.2))).work.work, "r1").isEjected);
 }
 
 TEST_CASE("a sum without this gateway's report is taken whole")
@@ -192,7 +192,7 @@
     OwnReports own(EntryId("a"));
     own.sent(report("a", 1, {work("r1", 2)}, 9));
     sum.merge(report("b", 1, {work("r1", 4)}, 3), at(0));
-    const auto others = own.othersOf(sum.take(at(0.1)));
+    const auto others = own.withoutOwn(sum.take(at(0.1)));
     CHECK(find(others.work.work, "r1").running == 4);
     CHECK(others.prefill[0].prefill == Duration::millis(3));
 }
@@ -219,8 +219,8 @@
     CHECK(cell.targets[0].ejections == 1);
     REQUIRE(cell.prefill.size() == 1);
     CHECK(cell.prefill[0].prefill == Duration::millis(25));
-    REQUIRE(cell.read.size() == 1);
-    CHECK(cell.read[0].second.tokens == 500);
+    REQUIRE(cell.prefilled.size() == 1);
+    CHECK(cell.prefilled[0].second.tokens == 500);
     CHECK(cell.reported == std::map<EntryId, std::uint64_t> {{EntryId("a#1"), 12}});
 }
 
--- a/tests/unit_copies.cpp
+++ b/tests/unit_copies.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-auto answer(double reading, double streaming, std::size_t bytes) -> SeenAnswer
+auto answer(double reading, double streaming, std::size_t bytes) -> ObservedAnswer
 {
     return {Duration::seconds(reading), Duration::seconds(streaming), bytes, 64};
 }
--- a/tests/unit_dispatch.cpp
+++ b/tests/unit_dispatch.cpp
@@ -21,10 +21,10 @@
     return TimePoint() + Duration::seconds(seconds);
 }
 
-class DispatchBench
+class DispatchFixture
 {
 public:
-    explicit DispatchBench(int runners, const std::string &zone = "z1")
+    explicit DispatchFixture(int runners, const std::string &zone = "z1")
         : m_dispatcher(DispatchOptions {.zone = ZoneName(zone)})
     {
         EngineDeclaration engine;
@@ -90,13 +90,13 @@
 
 TEST_CASE("requests spread by what is yet to be read at each runner")
 {
-    DispatchBench bench(4);
+    DispatchFixture fixture(4);
     std::map<TargetId, int> sent;
     for (int i = 0; i < 40; ++i) {
         const auto one = request();
-        const auto choice = bench->choose(one, at(1));
+        const auto choice = fixture->choose(one, at(1));
         REQUIRE(choice.refusal == DispatchRefusal::None);
-        bench->sent(one, choice.target, at(1));
+        fixture->sent(one, choice.target, at(1));
         ++sent[choice.target];
     }
     REQUIRE(sent.size() == 4);
@@ -110,20 +110,20 @@
 {
     // Load pattern: many callers with one long beginning of their prompts. Kept on one runner it is read once; but a burst of them must not
     // wait there in a row while others are idle.
-    DispatchBench bench(4);
+    DispatchFixture fixture(4);
     const auto first = request(7);
-    const auto home = bench->choose(first, at(1)).target;
-    const auto send = bench->sent(first, home, at(1));
-    bench->firstToken(send, at(1.3));
-    bench->ended(send, SendResult::Delivered, at(2));
-    REQUIRE(bench->choose(request(7), at(3)).target == home);
-    REQUIRE(bench->choose(request(7), at(3)).prefillTokens < 200);
+    const auto home = fixture->choose(first, at(1)).target;
+    const auto send = fixture->sent(first, home, at(1));
+    fixture->firstToken(send, at(1.3));
+    fixture->ended(send, SendResult::Delivered, at(2));
+    REQUIRE(fixture->choose(request(7), at(3)).target == home);
+    REQUIRE(fixture->choose(request(7), at(3)).prefillTokens < 200);
 
     std::map<TargetId, int> sent;
     for (int i = 0; i < 200; ++i) {
         const auto one = request(7);
-        const auto choice = bench->choose(one, at(3));
-        bench->sent(one, choice.target, at(3));
+        const auto choice = fixture->choose(one, at(3));
+        fixture->sent(one, choice.target, at(3));
         ++sent[choice.target];
     }
     REQUIRE(sent.size() > 1);
@@ -134,35 +134,35 @@
     // Load pattern: one prompt in thirty is ten times as long as the others, and takes a runner a second to read. An engine doesn't lay aside
     // the prompt that it is reading for a more urgent one. Short urgent prompts that were sent to that runner got their first token late, by
     // up to two seconds, while the other copies of the model had nothing to do.
-    DispatchBench bench(2);
+    DispatchFixture fixture(2);
     const auto big = longRequest(30000, UrgencyBand::Usual);
-    const auto busy = bench->choose(big, at(1)).target;
-    const auto send = bench->sent(big, busy, at(1));
+    const auto busy = fixture->choose(big, at(1)).target;
+    const auto send = fixture->sent(big, busy, at(1));
 
     const auto urgent = longRequest(300, UrgencyBand::Urgent);
-    REQUIRE(bench->choose(urgent, at(1.1)).target != busy);
+    REQUIRE(fixture->choose(urgent, at(1.1)).target != busy);
 
     SECTION("what has been read of it no longer counts")
     {
-        const auto idle = bench->choose(urgent, at(1.1)).target;
-        bench->sent(longRequest(10000, UrgencyBand::Urgent), idle, at(1.1));
-        REQUIRE(bench->choose(urgent, at(1.2)).target == idle);
-        REQUIRE(bench->choose(urgent, at(1.2)).backlog < Duration::millis(250));
+        const auto idle = fixture->choose(urgent, at(1.1)).target;
+        fixture->sent(longRequest(10000, UrgencyBand::Urgent), idle, at(1.1));
+        REQUIRE(fixture->choose(urgent, at(1.2)).target == idle);
+        REQUIRE(fixture->choose(urgent, at(1.2)).backlog < Duration::millis(250));
     }
     SECTION("another entry hears of it as of the most urgent work")
     {
-        DispatchBench other(2);
-        other->merge(bench->takeDigest(EntryId("e1"), at(1.01)), at(1.01));
+        DispatchFixture other(2);
+        other->merge(fixture->takeDigest(EntryId("e1"), at(1.01)), at(1.01));
         REQUIRE(other->choose(urgent, at(1.1)).target != busy);
     }
     SECTION("one that still waits there goes behind the urgent ones")
     {
         const auto waiting = longRequest(30000, UrgencyBand::Usual);
-        bench->sent(waiting, busy, at(1));
-        bench->firstToken(send, at(1.9));
-        const auto idle = bench->choose(urgent, at(1.1)).target;
-        bench->sent(longRequest(60000, UrgencyBand::Urgent), idle, at(1.9));
-        REQUIRE(bench->choose(urgent, at(2.7)).target == busy);
+        fixture->sent(waiting, busy, at(1));
+        fixture->firstToken(send, at(1.9));
+        const auto idle = fixture->choose(urgent, at(1.1)).target;
+        fixture->sent(longRequest(60000, UrgencyBand::Urgent), idle, at(1.9));
+        REQUIRE(fixture->choose(urgent, at(2.7)).target == busy);
     }
 }
 
@@ -170,21 +170,21 @@
 {
     // Load pattern: streams of some three hundred tokens beside a few very long prompts. While one of those is read, each step of its runner takes
     // so long that half a second passes between two events of every stream there: two streams in a hundred stalled, and callers saw it.
-    DispatchBench bench(2);
+    DispatchFixture fixture(2);
     for (int i = 0; i < 6; ++i) {
-        const auto send = bench->sent(longRequest(300, UrgencyBand::Urgent), TargetId("r0"), at(1));
-        bench->firstToken(send, at(1.024)); // as expected: the runner isn't a slow one
+        const auto send = fixture->sent(longRequest(300, UrgencyBand::Urgent), TargetId("r0"), at(1));
+        fixture->firstToken(send, at(1.024)); // as expected: the runner isn't a slow one
     }
-    const auto behind = bench->sent(longRequest(5000, UrgencyBand::Usual), TargetId("r1"), at(1));
+    const auto behind = fixture->sent(longRequest(5000, UrgencyBand::Usual), TargetId("r1"), at(1));
     REQUIRE(behind.value() > 0);
-    REQUIRE(bench->choose(longRequest(25000, UrgencyBand::Usual), at(1.1)).target == TargetId("r1"));
-    REQUIRE(bench->choose(longRequest(2000, UrgencyBand::Usual), at(1.1)).target == TargetId("r0"));
+    REQUIRE(fixture->choose(longRequest(25000, UrgencyBand::Usual), at(1.1)).target == TargetId("r1"));
+    REQUIRE(fixture->choose(longRequest(2000, UrgencyBand::Usual), at(1.1)).target == TargetId("r0"));
 }
 
 TEST_CASE("two entries that know nothing yet choose the same runner for the same beginning")
 {
-    DispatchBench one(6);
-    DispatchBench two(6);
+    DispatchFixture one(6);
+    DispatchFixture two(6);
     for (std::uint64_t shared = 1; shared <= 20; ++shared) {
         REQUIRE(one->choose(request(shared), at(1)).target == two->choose(request(shared), at(1)).target);
     }
@@ -192,8 +192,8 @@
 
 TEST_CASE("other entries' work counts, until their digest is too old")
 {
-    DispatchBench bench(2);
-    const auto home = bench->choose(request(5), at(1)).target;
+    DispatchFixture fixture(2);
+    const auto home = fixture->choose(request(5), at(1)).target;
     WorkDigest digest;
     digest.entry = EntryId("other");
     digest.sequence = 1;
@@ -202,86 +202,86 @@
     work.running = 10;
     work.pendingPrefill.fill(Duration::seconds(1));
     digest.work = {work};
-    bench->merge(digest, at(1));
-    REQUIRE(bench->choose(request(5), at(1.1)).target != home);
-    REQUIRE(bench->running(home, at(1.1)) == 10);
-    REQUIRE(bench->choose(request(5), at(4)).target == home);
+    fixture->merge(digest, at(1));
+    REQUIRE(fixture->choose(request(5), at(1.1)).target != home);
+    REQUIRE(fixture->running(home, at(1.1)) == 10);
+    REQUIRE(fixture->choose(request(5), at(4)).target == home);
 
-    bench->merge(digest, at(5)); // the same number again: a copy that was late
-    REQUIRE(bench->running(home, at(5)) == 0);
+    fixture->merge(digest, at(5)); // the same number again: a copy that was late
+    REQUIRE(fixture->running(home, at(5)) == 0);
 }
 
 TEST_CASE("a target that breaks off without an answer gets nothing for a while, then one request")
 {
-    DispatchBench bench(2);
+    DispatchFixture fixture(2);
     const auto one = request(3);
-    const auto home = bench->choose(one, at(1)).target;
-    bench->ended(bench->sent(one, home, at(1)), SendResult::NoEntry, at(1.1));
-    REQUIRE(bench->isEjected(home, at(1.2)));
+    const auto home = fixture->choose(one, at(1)).target;
+    fixture->ended(fixture->sent(one, home, at(1)), SendResult::NoAnswer, at(1.1));
+    REQUIRE(fixture->isEjected(home, at(1.2)));
     for (int i = 0; i < 50; ++i) {
-        REQUIRE(bench->choose(request(3), at(1.2)).target != home);
+        REQUIRE(fixture->choose(request(3), at(1.2)).target != home);
     }
-    REQUIRE_FALSE(bench->isEjected(home, at(9)));
+    REQUIRE_FALSE(fixture->isEjected(home, at(9)));
 }
 
 TEST_CASE("the client's going away says nothing about its target")
 {
-    DispatchBench bench(1);
+    DispatchFixture fixture(1);
     const auto one = request();
     const TargetId target("r0");
-    bench->ended(bench->sent(one, target, at(1)), SendResult::Cancelled, at(1.1));
-    REQUIRE(bench->failures(target, at(1.2)) == 0);
-    REQUIRE_FALSE(bench->isEjected(target, at(1.2)));
+    fixture->ended(fixture->sent(one, target, at(1)), SendResult::Cancelled, at(1.1));
+    REQUIRE(fixture->failures(target, at(1.2)) == 0);
+    REQUIRE_FALSE(fixture->isEjected(target, at(1.2)));
 }
 
 TEST_CASE("where no target gets through, the request still goes to one, as a last resort")
 {
-    DispatchBench bench(1);
-    bench->unreachable(TargetId("r0"), at(1));
-    const auto choice = bench->choose(request(), at(1.1));
+    DispatchFixture fixture(1);
+    fixture->unreachable(TargetId("r0"), at(1));
+    const auto choice = fixture->choose(request(), at(1.1));
     REQUIRE(choice.target == TargetId("r0"));
     REQUIRE(choice.isLastResort);
 }
 
 TEST_CASE("a refusal says what was missing")
 {
-    DispatchBench bench(2);
+    DispatchFixture fixture(2);
     auto other = request();
     other.model = "m2";
-    REQUIRE(bench->choose(other, at(1)).refusal == DispatchRefusal::NotHeld);
+    REQUIRE(fixture->choose(other, at(1)).refusal == DispatchRefusal::NotHeld);
     auto adapted = request();
     adapted.adapter = "a1";
-    REQUIRE(bench->choose(adapted, at(1)).refusal == DispatchRefusal::AdapterMissing);
+    REQUIRE(fixture->choose(adapted, at(1)).refusal == DispatchRefusal::AdapterMissing);
     auto unknown = request();
     unknown.service = ServiceName("nobody");
-    REQUIRE(bench->choose(unknown, at(1)).refusal == DispatchRefusal::NoTarget);
+    REQUIRE(fixture->choose(unknown, at(1)).refusal == DispatchRefusal::NoTarget);
     auto tried = request();
     tried.excluded = {TargetId("r0"), TargetId("r1")};
-    REQUIRE(bench->choose(tried, at(1)).refusal == DispatchRefusal::AllExcluded);
+    REQUIRE(fixture->choose(tried, at(1)).refusal == DispatchRefusal::AllExcluded);
 }
 
 TEST_CASE("a target that leaves or has gone gets nothing new, and a new start is known for nothing")
 {
-    DispatchBench bench(2);
-    bench->targetGone(TargetId("r0"));
-    REQUIRE(bench->choose(request(), at(1)).target == TargetId("r1"));
-    auto leaving = *bench->description(TargetId("r1"));
+    DispatchFixture fixture(2);
+    fixture->targetGone(TargetId("r0"));
+    REQUIRE(fixture->choose(request(), at(1)).target == TargetId("r1"));
+    auto leaving = *fixture->description(TargetId("r1"));
     leaving.isLeaving = true;
-    bench->targetSeen(leaving, at(1));
-    REQUIRE(bench->choose(request(), at(1)).target.isEmpty());
+    fixture->targetSeen(leaving, at(1));
+    REQUIRE(fixture->choose(request(), at(1)).target.isEmpty());
 }
 
 TEST_CASE("the own zone comes first while its runners are no later")
 {
-    DispatchBench bench(0, "z2");
-    bench.add("near", "z2");
-    bench.add("far", "z1");
+    DispatchFixture fixture(0, "z2");
+    fixture.add("near", "z2");
+    fixture.add("far", "z1");
     std::map<TargetId, int> chosen;
     for (int i = 0; i < 40; ++i) {
         auto one = request();
         one.prompt.clear(); // nothing kept anywhere, nothing to rank runners by
         one.promptTokens = 100;
-        ++chosen[bench->choose(one, at(1)).target];
+        ++chosen[fixture->choose(one, at(1)).target];
     }
     REQUIRE(chosen[TargetId("near")] == 40);
 }
@@ -411,88 +411,88 @@
 {
     // Load pattern: demand moves to another model, and a runner is to make room for it. Requests that still went to the model that leaves would keep its
     // streams from ever ending; but where it is the only copy, they must not be refused for it.
-    DispatchBench bench(0);
-    bench.add("r0", "z1", {{"m1", 0, {"a1"}, true}});
-    REQUIRE(bench->choose(request(), at(1)).target == TargetId("r0"));
-    bench.add("r1", "z1", {{"m1", 0, {}}});
+    DispatchFixture fixture(0);
+    fixture.add("r0", "z1", {{"m1", 0, {"a1"}, true}});
+    REQUIRE(fixture->choose(request(), at(1)).target == TargetId("r0"));
+    fixture.add("r1", "z1", {{"m1", 0, {}}});
     for (int i = 0; i < 20; ++i) {
         const auto one = request();
-        const auto choice = bench->choose(one, at(1));
+        const auto choice = fixture->choose(one, at(1));
         REQUIRE(choice.target == TargetId("r1"));
-        bench->sent(one, choice.target, at(1));
+        fixture->sent(one, choice.target, at(1));
     }
     // An adapter that is only there is loaded beside the copy that stays, rather than asked for where it keeps the old one.
     auto adapted = request();
     adapted.adapter = "a1";
-    REQUIRE(bench->choose(adapted, at(1)).refusal == DispatchRefusal::AdapterMissing);
+    REQUIRE(fixture->choose(adapted, at(1)).refusal == DispatchRefusal::AdapterMissing);
     // Should the other copy not be reached, the one that gives way is better than none.
-    bench->unreachable(TargetId("r1"), at(1));
-    REQUIRE(bench->choose(request(), at(1)).target == TargetId("r0"));
+    fixture->unreachable(TargetId("r1"), at(1));
+    REQUIRE(fixture->choose(request(), at(1)).target == TargetId("r0"));
 }
 
 TEST_CASE("a full runner is waited for by urgency")
 {
     // Load pattern: the only runner with a model is asked for more than it can do. Its places turn over all the while, and requests that can still be on time
     // take the next ones; those that can't wait behind. Were a full runner a second's wait for everybody, all would count as late and all would be.
-    DispatchBench bench(1);
+    DispatchFixture fixture(1);
     const auto small = [](UrgencyBand band) {
         return longRequest(10, band);
     };
     for (int i = 0; i < 16; ++i) {
-        const auto send = bench->sent(small(UrgencyBand::Usual), TargetId("r0"), at(1));
-        bench->firstToken(send, at(1.01));
+        const auto send = fixture->sent(small(UrgencyBand::Usual), TargetId("r0"), at(1));
+        fixture->firstToken(send, at(1.01));
     }
-    const auto nextToFull = bench->choose(small(UrgencyBand::Usual), at(1.1)).expectedFirst;
+    const auto nextToFull = fixture->choose(small(UrgencyBand::Usual), at(1.1)).expectedFirst;
     REQUIRE(nextToFull < Duration::millis(150));
     for (int i = 0; i < 20; ++i) {
-        bench->sent(small(UrgencyBand::Patient), TargetId("r0"), at(1.1));
+        fixture->sent(small(UrgencyBand::Patient), TargetId("r0"), at(1.1));
     }
-    const auto urgent = bench->choose(small(UrgencyBand::Usual), at(1.1));
+    const auto urgent = fixture->choose(small(UrgencyBand::Usual), at(1.1));
     REQUIRE(urgent.expectedFirst < Duration::millis(150));
     REQUIRE(urgent.expectedIfPatient > Duration::millis(400)); // behind the twenty
-    REQUIRE(bench->choose(small(UrgencyBand::Patient), at(1.1)).expectedFirst > Duration::millis(400));
+    REQUIRE(fixture->choose(small(UrgencyBand::Patient), at(1.1)).expectedFirst > Duration::millis(400));
 }
 
 TEST_CASE("prompts that come together go to different runners, also by what others have sent")
 {
     // Load pattern: many short prompts a second from several entries. Each is read within some milliseconds, but ten that come to one runner within the time
     // between two events stall every stream there, while the runner beside it reads nothing.
-    DispatchBench bench(2);
+    DispatchFixture fixture(2);
     const auto next = [] {
         auto made = longRequest(400, UrgencyBand::Usual);
         made.pauseGoal = Duration::millis(150);
         return made;
     };
     for (int i = 0; i < 7; ++i) {
-        const auto send = bench->sent(next(), TargetId("r0"), at(1 + i * 0.01));
-        bench->firstToken(send, at(1 + i * 0.01 + 0.03));
+        const auto send = fixture->sent(next(), TargetId("r0"), at(1 + i * 0.01));
+        fixture->firstToken(send, at(1 + i * 0.01 + 0.03));
     }
-    REQUIRE(bench->choose(next(), at(1.07)).target == TargetId("r1"));
-    bench->merge({{TargetId("r1"), Duration::millis(200)}}, at(1.07));
-    REQUIRE(bench->choose(next(), at(1.08)).target == TargetId("r0"));
-    const auto told = bench->takeSentPrefill();
+    REQUIRE(fixture->choose(next(), at(1.07)).target == TargetId("r1"));
+    fixture->merge({{TargetId("r1"), Duration::millis(200)}}, at(1.07));
+    REQUIRE(fixture->choose(next(), at(1.08)).target == TargetId("r0"));
+    const auto told = fixture->takeSentPrefill();
     REQUIRE(told.size() == 1);
     REQUIRE(told.front().target == TargetId("r0"));
     REQUIRE(told.front().prefill > Duration::millis(5));
-    REQUIRE(bench->takeSentPrefill().empty());
+    REQUIRE(fixture->takeSentPrefill().empty());
 }
 
 TEST_CASE("a first step and the reading of a prompt are told apart")
 {
     // An engine whose first step takes 8 ms and that reads 40 tokens a millisecond. With the step taken to be twice as long, reading would seem to take next to
     // no time, and many prompts at once on one runner would seem to do no harm.
-    DispatchBench bench(1);
+    DispatchFixture fixture(1);
     double now = 1;
     for (int i = 0; i < 300; ++i) {
         const int tokens = i % 3 == 0 ? 100 : 1000;
-        const auto send = bench->sent(longRequest(tokens, UrgencyBand::Usual), TargetId("r0"), at(now));
+        const auto send = fixture->sent(longRequest(tokens, UrgencyBand::Usual), TargetId("r0"), at(now));
         const double took = 0.008 + tokens / 40.0 / 1000;
-        bench->firstToken(send, at(now + took));
-        bench->ended(send, SendResult::Delivered, at(now + took + 0.2));
+        fixture->firstToken(send, at(now + took));
+        fixture->ended(send, SendResult::Delivered, at(now + took + 0.2));
         now += 1;
     }
-    const auto shortOne = bench->choose(longRequest(50, UrgencyBand::Usual), at(now)).expectedFirst;
-    const auto longOne = bench->choose(longRequest(2000, UrgencyBand::Usual), at(now)).expectedFirst;
+    const auto shortOne = fixture->choose(longRequest(50, UrgencyBand::Usual), at(now)).expectedFirst;
+    const auto longOne = fixture->choose(longRequest(2000, UrgencyBand::Usual), at(now)).expectedFirst;
     REQUIRE(shortOne < Duration::millis(12));
     REQUIRE(longOne - shortOne > Duration::millis(40));
     REQUIRE(longOne - shortOne < Duration::millis(60));
@@ -500,22 +500,22 @@
 
 TEST_CASE("streams under way are counted by target and model, whatever their end")
 {
-    DispatchBench bench(2);
+    DispatchFixture fixture(2);
     const auto sent = [&](const char *target) {
-        return bench->sent(request(), TargetId(target), at(1));
+        return fixture->sent(request(), TargetId(target), at(1));
     };
     const auto first = sent("r0");
     const auto second = sent("r0");
     const auto third = sent("r1");
-    CHECK(bench->ownRunning(TargetId("r0"), "m1") == 2);
-    CHECK(bench->ownRunning(TargetId("r1"), "m1") == 1);
-    CHECK(bench->ownRunning(TargetId("r1"), "m2") == 0);
-    bench->ended(first, SendResult::Delivered, at(2));
-    bench->ended(first, SendResult::Delivered, at(2));
-    bench->targetGone(TargetId("r1"));
-    bench->ended(third, SendResult::Failed, at(2));
-    CHECK(bench->ownRunning(TargetId("r0"), "m1") == 1);
-    CHECK(bench->ownRunning(TargetId("r1"), "m1") == 0);
-    bench->ended(second, SendResult::Cancelled, at(3));
-    CHECK(bench->ownRunning(TargetId("r0"), "m1") == 0);
+    CHECK(fixture->ownRunning(TargetId("r0"), "m1") == 2);
+    CHECK(fixture->ownRunning(TargetId("r1"), "m1") == 1);
+    CHECK(fixture->ownRunning(TargetId("r1"), "m2") == 0);
+    fixture->ended(first, SendResult::Delivered, at(2));
+    fixture->ended(first, SendResult::Delivered, at(2));
+    fixture->targetGone(TargetId("r1"));
+    fixture->ended(third, SendResult::Failed, at(2));
+    CHECK(fixture->ownRunning(TargetId("r0"), "m1") == 1);
+    CHECK(fixture->ownRunning(TargetId("r1"), "m1") == 0);
+    fixture->ended(second, SendResult::Cancelled, at(3));
+    CHECK(fixture->ownRunning(TargetId("r0"), "m1") == 0);
 }
--- a/tests/unit_herd.cpp
+++ b/tests/unit_herd.cpp
@@ -98,7 +98,7 @@
     }
     const auto cell = m_sum.take(time(now));
     for (std::size_t i = 0; i < m_gateways.size(); ++i) {
-        m_gateways[i]->merge(m_reports[i].othersOf(cell).work, time(now));
+        m_gateways[i]->merge(m_reports[i].withoutOwn(cell).work, time(now));
     }
 }
 
--- a/tests/unit_orders.cpp
+++ b/tests/unit_orders.cpp
@@ -883,7 +883,7 @@
     }
     REQUIRE(meter.available(at(104)) == 0);
     REQUIRE(meter.available(at(105.5)) == 5);
-    meter.takenOver(at(106));
+    meter.reset(at(106));
     REQUIRE(meter.available(at(106)) == 0);
     REQUIRE(meter.available(at(111.5)) == 5);
 }
--- a/tests/unit_peerloads.cpp
+++ b/tests/unit_peerloads.cpp
@@ -33,10 +33,10 @@
     loads.merge(digestOf("g1#200", 1, 4), at(0));
     loads.merge(digestOf("g10#100", 1, 5), at(0));
     loads.merge(digestOf("g2", 1, 6), at(0));
-    loads.entryGone(EntryId("g1"));
+    loads.gatewayGone(EntryId("g1"));
     CHECK(loads.size() == 2);
     CHECK(loads.work(TargetId("r1"), at(0.1)).running == 11);
-    loads.entryGone(EntryId("g2"));
+    loads.gatewayGone(EntryId("g2"));
     CHECK(loads.work(TargetId("r1"), at(0.1)).running == 5);
 }
 
--- a/tests/unit_routing.cpp
+++ b/tests/unit_routing.cpp
@@ -29,13 +29,13 @@
     return TargetId("t" + std::to_string(number));
 }
 
-struct Scene {
+struct RouterFixture {
     Router router;
     TimePoint now = at(0);
     int sent = 0;
     std::uint64_t sequence = 0;
 
-    explicit Scene(RoutingOptions options = {}, int targets = 4)
+    explicit RouterFixture(RoutingOptions options = {}, int targets = 4)
         : router([&] {
             options.zone = Here;
             return options;
@@ -88,37 +88,37 @@
 
 TEST_CASE("only a live target with the artifact resident is chosen, and a refusal says why")
 {
-    Scene scene({}, 2);
-    auto request = scene.request();
+    RouterFixture fixture({}, 2);
+    auto request = fixture.request();
     request.artifacts = {Sun, ArtifactName("austin")};
-    REQUIRE(scene.router.choose(request, scene.now).refusal == RoutingRefusal::NoCopy);
+    REQUIRE(fixture.router.choose(request, fixture.now).refusal == RoutingRefusal::NoCopy);
     request.artifacts = {Sun};
     request.excluded = {target(0), target(1)};
-    REQUIRE(scene.router.choose(request, scene.now).refusal == RoutingRefusal::AllExcluded);
+    REQUIRE(fixture.router.choose(request, fixture.now).refusal == RoutingRefusal::AllExcluded);
     request.excluded = {target(0)};
-    REQUIRE(scene.router.choose(request, scene.now).target == target(1));
-    scene.router.targetDown(target(1), scene.now);
-    REQUIRE(scene.router.choose(request, scene.now).isRefused());
+    REQUIRE(fixture.router.choose(request, fixture.now).target == target(1));
+    fixture.router.targetDown(target(1), fixture.now);
+    REQUIRE(fixture.router.choose(request, fixture.now).isRefused());
 }
 
 TEST_CASE("a target that is leaving gets no new work")
 {
-    Scene scene({}, 2);
-    scene.report(0, {.leaving = true});
-    REQUIRE(scene.countSends(50)[target(0)] == 0);
+    RouterFixture fixture({}, 2);
+    fixture.report(0, {.leaving = true});
+    REQUIRE(fixture.countSends(50)[target(0)] == 0);
 }
 
 TEST_CASE("requests sent since the last report count as load")
 {
     // Reports lag. Were they all that counts, every request between two reports would go to the one target that looked idle last.
-    Scene scene({.twoChoices = true}, 4);
-    scene.report(0, {.running = 8});
-    scene.report(1, {.running = 8});
-    scene.report(2, {.running = 8});
-    scene.now = at(0.01);
+    RouterFixture fixture({.twoChoices = true}, 4);
+    fixture.report(0, {.running = 8});
+    fixture.report(1, {.running = 8});
+    fixture.report(2, {.running = 8});
+    fixture.now = at(0.01);
     std::map<TargetId, int> counts;
     for (int i = 0; i < 40; ++i) {
-        ++counts[scene.send(scene.request())];
+        ++counts[fixture.send(fixture.request())];
     }
     REQUIRE(counts[target(3)] < 25);
     REQUIRE(counts[target(3)] > 10);
@@ -126,192 +126,192 @@
 
 TEST_CASE("what can't be in time anywhere is refused before it is sent")
 {
-    Scene scene({}, 2);
-    auto request = scene.request();
-    request.deadline = scene.now + Duration::millis(100);
-    const auto choice = scene.router.choose(request, scene.now);
+    RouterFixture fixture({}, 2);
+    auto request = fixture.request();
+    request.deadline = fixture.now + Duration::millis(100);
+    const auto choice = fixture.router.choose(request, fixture.now);
     REQUIRE(choice.refusal == RoutingRefusal::TooLate);
     REQUIRE_FALSE(choice.reason.empty());
 }
 
 TEST_CASE("batch requests leave room for the others")
 {
-    Scene scene({}, 1);
-    scene.report(0, {.running = 24});
-    auto request = scene.request();
+    RouterFixture fixture({}, 1);
+    fixture.report(0, {.running = 24});
+    auto request = fixture.request();
     request.priority = Priority::Batch;
-    REQUIRE(scene.router.choose(request, scene.now).refusal == RoutingRefusal::Overloaded);
+    REQUIRE(fixture.router.choose(request, fixture.now).refusal == RoutingRefusal::Overloaded);
     request.priority = Priority::Standard;
-    REQUIRE_FALSE(scene.router.choose(request, scene.now).isRefused());
-    scene.report(0, {.running = 32});
-    REQUIRE(scene.router.choose(request, scene.now).refusal == RoutingRefusal::Overloaded);
+    REQUIRE_FALSE(fixture.router.choose(request, fixture.now).isRefused());
+    fixture.report(0, {.running = 32});
+    REQUIRE(fixture.router.choose(request, fixture.now).refusal == RoutingRefusal::Overloaded);
     request.priority = Priority::Interactive;
-    REQUIRE_FALSE(scene.router.choose(request, scene.now).isRefused());
+    REQUIRE_FALSE(fixture.router.choose(request, fixture.now).isRefused());
 }
 
 TEST_CASE("requests with a common prefix meet at one target until it is busier than the rest")
 {
-    Scene scene({}, 4);
-    auto first = scene.request();
+    RouterFixture fixture({}, 4);
+    auto first = fixture.request();
     first.prefixHash = "prefix";
-    const auto home = scene.router.choose(first, scene.now).target;
+    const auto home = fixture.router.choose(first, fixture.now).target;
     for (int i = 0; i < 20; ++i) {
-        auto request = scene.request();
+        auto request = fixture.request();
         request.prefixHash = "prefix";
-        REQUIRE(scene.router.choose(request, scene.now).target == home);
+        REQUIRE(fixture.router.choose(request, fixture.now).target == home);
     }
     for (int i = 0; i < 4; ++i) {
-        scene.report(i, {.running = target(i) == home ? 20 : 2});
+        fixture.report(i, {.running = target(i) == home ? 20 : 2});
     }
-    auto request = scene.request();
+    auto request = fixture.request();
     request.prefixHash = "prefix";
-    REQUIRE(scene.router.choose(request, scene.now).target != home);
+    REQUIRE(fixture.router.choose(request, fixture.now).target != home);
 }
 
 TEST_CASE("a short request doesn't queue behind a long prompt")
 {
     // A review of 4,000 tokens has just gone to a target that runs nothing else. An advisory sent there too would get its first token a second
     // later, when the patron has left, though by number of requests that target is as free as the others.
-    Scene scene({}, 2);
-    auto review = scene.request();
+    RouterFixture fixture({}, 2);
+    auto review = fixture.request();
     review.promptTokens = 4000;
-    const auto busy = scene.send(review);
+    const auto busy = fixture.send(review);
     for (int i = 0; i < 8; ++i) {
-        auto advisory = scene.request();
+        auto advisory = fixture.request();
         advisory.prefixHash = "p" + std::to_string(i);
-        REQUIRE(scene.router.choose(advisory, scene.now).target != busy);
+        REQUIRE(fixture.router.choose(advisory, fixture.now).target != busy);
     }
-    scene.now = at(1.5);
-    scene.router.requestEnded(review.id, busy, AttemptResult::Delivered, scene.now);
+    fixture.now = at(1.5);
+    fixture.router.requestEnded(review.id, busy, AttemptResult::Delivered, fixture.now);
     bool usedAgain = false;
     for (int i = 0; i < 40; ++i) {
-        auto advisory = scene.request();
+        auto advisory = fixture.request();
         advisory.prefixHash = "p" + std::to_string(i);
-        usedAgain = usedAgain || scene.router.choose(advisory, scene.now).target == busy;
+        usedAgain = usedAgain || fixture.router.choose(advisory, fixture.now).target == busy;
     }
     REQUIRE(usedAgain);
 }
 
 TEST_CASE("long prompts of lower classes go to a target one at a time")
 {
-    Scene scene({}, 1);
-    auto review = scene.request();
+    RouterFixture fixture({}, 1);
+    auto review = fixture.request();
     review.promptTokens = 4000;
-    REQUIRE_FALSE(scene.send(review).isEmpty());
-    REQUIRE(scene.router.choose(scene.request(), scene.now).refusal == RoutingRefusal::Overloaded);
-    REQUIRE_FALSE(scene.router.hasCapacity(target(0), Priority::Standard, scene.now));
-    auto advisory = scene.request();
+    REQUIRE_FALSE(fixture.send(review).isEmpty());
+    REQUIRE(fixture.router.choose(fixture.request(), fixture.now).refusal == RoutingRefusal::Overloaded);
+    REQUIRE_FALSE(fixture.router.hasCapacity(target(0), Priority::Standard, fixture.now));
+    auto advisory = fixture.request();
     advisory.priority = Priority::Interactive;
-    REQUIRE_FALSE(scene.router.choose(advisory, scene.now).isRefused());
-    scene.now = at(0.8);
-    REQUIRE(scene.router.hasCapacity(target(0), Priority::Standard, scene.now));
-    REQUIRE_FALSE(scene.router.hasCapacity(target(0), Priority::Batch, scene.now));
+    REQUIRE_FALSE(fixture.router.choose(advisory, fixture.now).isRefused());
+    fixture.now = at(0.8);
+    REQUIRE(fixture.router.hasCapacity(target(0), Priority::Standard, fixture.now));
+    REQUIRE_FALSE(fixture.router.hasCapacity(target(0), Priority::Batch, fixture.now));
 }
 
 TEST_CASE("the same run-once key goes to the same target")
 {
-    Scene scene({}, 4);
-    auto request = scene.request();
+    RouterFixture fixture({}, 4);
+    auto request = fixture.request();
     request.stickyKey = "debit-17";
-    const auto home = scene.router.choose(request, scene.now).target;
+    const auto home = fixture.router.choose(request, fixture.now).target;
     for (int i = 0; i < 20; ++i) {
-        scene.send(scene.request());
-        REQUIRE(scene.router.choose(request, scene.now).target == home);
+        fixture.send(fixture.request());
+        REQUIRE(fixture.router.choose(request, fixture.now).target == home);
     }
 }
 
 TEST_CASE("on equal terms the nearest zone is taken")
 {
-    Scene scene({}, 2);
-    REQUIRE(scene.countSends(20)[target(0)] == 20);
+    RouterFixture fixture({}, 2);
+    REQUIRE(fixture.countSends(20)[target(0)] == 20);
 }
 
 TEST_CASE("a target that fails is shed, then comes back gradually")
 {
     // One target answers with errors, and quickly: to a router that looks at load alone it seems the least busy of all, and draws
     // every request to itself.
-    Scene scene({}, 4);
+    RouterFixture fixture({}, 4);
     for (int i = 0; i < 3; ++i) {
-        const auto one = scene.request();
-        scene.router.requestStarted(one, target(2), scene.now);
-        scene.router.requestEnded(one.id, target(2), AttemptResult::Failed, scene.now);
+        const auto one = fixture.request();
+        fixture.router.requestStarted(one, target(2), fixture.now);
+        fixture.router.requestEnded(one.id, target(2), AttemptResult::Failed, fixture.now);
     }
-    REQUIRE(scene.router.weight(target(2), scene.now) == 0);
-    REQUIRE(scene.countSends(100)[target(2)] == 0);
-    scene.now = at(3);
+    REQUIRE(fixture.router.weight(target(2), fixture.now) == 0);
+    REQUIRE(fixture.countSends(100)[target(2)] == 0);
+    fixture.now = at(3);
     for (int i = 0; i < 4; ++i) {
-        scene.report(i, {});
+        fixture.report(i, {});
     }
-    const auto early = scene.router.weight(target(2), scene.now);
+    const auto early = fixture.router.weight(target(2), fixture.now);
     REQUIRE(early > 0);
     REQUIRE(early < 0.5);
-    scene.now = at(13);
-    REQUIRE(scene.router.weight(target(2), scene.now) > early);
+    fixture.now = at(13);
+    REQUIRE(fixture.router.weight(target(2), fixture.now) > early);
     for (int i = 0; i < 4; ++i) {
-        scene.report(i, {});
+        fixture.report(i, {});
     }
-    REQUIRE(scene.countSends(200)[target(2)] > 20);
+    REQUIRE(fixture.countSends(200)[target(2)] > 20);
 }
 
 TEST_CASE("a target that has become slow gets less")
 {
     // One engine takes three times as long as the others for the same work. It answers everything, so nothing counts as a failure; its callers
     // only wait.
-    Scene scene({}, 4);
+    RouterFixture fixture({}, 4);
     for (int i = 0; i < 100; ++i) {
         for (int number = 0; number < 4; ++number) {
-            const auto one = scene.request();
-            scene.router.requestStarted(one, target(number), scene.now);
-            scene.router.requestEnded(one.id, target(number), AttemptResult::Delivered, scene.now + Duration::millis(number == 0 ? 900 : 300));
+            const auto one = fixture.request();
+            fixture.router.requestStarted(one, target(number), fixture.now);
+            fixture.router.requestEnded(one.id, target(number), AttemptResult::Delivered, fixture.now + Duration::millis(number == 0 ? 900 : 300));
         }
     }
-    REQUIRE(scene.countSends(40)[target(0)] == 0);
+    REQUIRE(fixture.countSends(40)[target(0)] == 0);
 }
 
 TEST_CASE("a plain service isn't judged by a model's service times")
 {
     // Both are interactive. An advisory takes two seconds, a balance lookup twenty milliseconds; were they one class, every lookup would be
     // refused as too late for its budget of one second.
-    Scene scene({}, 2);
+    RouterFixture fixture({}, 2);
     const ServiceName ledger("ledger");
-    scene.router.targetUp(TargetId("ledger-1"), Here, ledger, scene.now);
-    scene.router.reportReceived(TargetId("ledger-1"), {.sequence = 1, .concurrencyLimit = 8, .serviceTime = Duration::millis(20)}, scene.now);
+    fixture.router.targetUp(TargetId("ledger-1"), Here, ledger, fixture.now);
+    fixture.router.reportReceived(TargetId("ledger-1"), {.sequence = 1, .concurrencyLimit = 8, .serviceTime = Duration::millis(20)}, fixture.now);
     for (int i = 0; i < 50; ++i) {
-        auto advisory = scene.request();
+        auto advisory = fixture.request();
         advisory.priority = Priority::Interactive;
-        scene.router.requestStarted(advisory, target(0), scene.now);
-        scene.router.requestEnded(advisory.id, target(0), AttemptResult::Delivered, scene.now + Duration::seconds(2));
+        fixture.router.requestStarted(advisory, target(0), fixture.now);
+        fixture.router.requestEnded(advisory.id, target(0), AttemptResult::Delivered, fixture.now + Duration::seconds(2));
     }
-    const RoutingRequest lookup {.id = id(-1), .service = ledger, .deadline = scene.now + Duration::seconds(1), .priority = Priority::Interactive};
-    REQUIRE(scene.router.choose(lookup, scene.now).target == TargetId("ledger-1"));
+    const RoutingRequest lookup {.id = id(-1), .service = ledger, .deadline = fixture.now + Duration::seconds(1), .priority = Priority::Interactive};
+    REQUIRE(fixture.router.choose(lookup, fixture.now).target == TargetId("ledger-1"));
 }
 
 TEST_CASE("a target whose reports stop is used less, then not at all")
 {
-    Scene scene({}, 2);
-    scene.now = at(3);
-    scene.report(1, {});
-    REQUIRE(scene.router.weight(target(0), scene.now) < scene.router.weight(target(1), scene.now));
-    scene.now = at(7);
-    scene.report(1, {});
-    REQUIRE(scene.countSends(50)[target(0)] == 0);
+    RouterFixture fixture({}, 2);
+    fixture.now = at(3);
+    fixture.report(1, {});
+    REQUIRE(fixture.router.weight(target(0), fixture.now) < fixture.router.weight(target(1), fixture.now));
+    fixture.now = at(7);
+    fixture.report(1, {});
+    REQUIRE(fixture.countSends(50)[target(0)] == 0);
 }
 
 TEST_CASE("an engine that restarted is started slowly")
 {
-    Scene scene({}, 2);
-    scene.report(0, {.engineGeneration = 1});
-    REQUIRE(scene.router.weight(target(0), scene.now) < 0.5);
-    REQUIRE(scene.router.weight(target(1), scene.now) == 1);
+    RouterFixture fixture({}, 2);
+    fixture.report(0, {.engineGeneration = 1});
+    REQUIRE(fixture.router.weight(target(0), fixture.now) < 0.5);
+    REQUIRE(fixture.router.weight(target(1), fixture.now) == 1);
 }
 
 TEST_CASE("the baselines route as they say")
 {
-    Scene scene({.strategy = RoutingStrategy::RoundRobin}, 4);
-    for (const auto &[chosen, count] : scene.countSends(40)) {
+    RouterFixture fixture({.strategy = RoutingStrategy::RoundRobin}, 4);
+    for (const auto &[chosen, count] : fixture.countSends(40)) {
         REQUIRE(count == 10);
     }
-    Scene least({.strategy = RoutingStrategy::LeastLoaded}, 2);
+    RouterFixture least({.strategy = RoutingStrategy::LeastLoaded}, 2);
     least.report(0, {.running = 3});
     REQUIRE(least.send(least.request()) == target(1));
 }
--- a/tests/unit_targets.cpp
+++ b/tests/unit_targets.cpp
@@ -80,11 +80,11 @@
     // The store was away and drops all rows, for it heard nothing of the targets itself. Believed, every caller would be refused until the
     // targets are back.
     TargetView view;
-    view.row(target("r1"), at(0));
-    view.row(target("r2"), at(0));
-    REQUIRE(view.rowGone(TargetId("r1"), at(1)).gone.size() == 1);
-    view.trouble(at(5));
-    REQUIRE(view.rowGone(TargetId("r2"), at(6)).gone.empty());
+    view.rowReceived(target("r1"), at(0));
+    view.rowReceived(target("r2"), at(0));
+    REQUIRE(view.rowRemoved(TargetId("r1"), at(1)).gone.size() == 1);
+    view.storeUnreachable(at(5));
+    REQUIRE(view.rowRemoved(TargetId("r2"), at(6)).gone.empty());
     REQUIRE(view.find(TargetId("r2")) != nullptr);
     REQUIRE(view.advance(at(7)).gone.empty());
     REQUIRE(view.advance(at(7.4)).gone.size() == 1);
@@ -96,28 +96,28 @@
     // Nobody noticed that the store was away; it drops all rows. Believed, every caller is refused until the targets are back.
     TargetView view;
     for (int i = 0; i < 6; ++i) {
-        view.row(target("r" + std::to_string(i)), at(0));
+        view.rowReceived(target("r" + std::to_string(i)), at(0));
     }
-    REQUIRE_FALSE(view.rowsGo(0, at(1)));
-    REQUIRE_FALSE(view.rowsGo(3, at(1)));
+    REQUIRE_FALSE(view.detectMassRemoval(0, at(1)));
+    REQUIRE_FALSE(view.detectMassRemoval(3, at(1)));
     REQUIRE(view.isSettled(at(1)));
-    REQUIRE(view.rowsGo(4, at(2)));
-    REQUIRE(view.rowGone(TargetId("r0"), at(2)).gone.empty());
+    REQUIRE(view.detectMassRemoval(4, at(2)));
+    REQUIRE(view.rowRemoved(TargetId("r0"), at(2)).gone.empty());
     REQUIRE(view.find(TargetId("r0")) != nullptr);
     REQUIRE(view.advance(at(5)).gone.size() == 1);
 
     TargetView single; // a service of one target: that one goes
-    single.row(target("r0"), at(0));
-    REQUIRE_FALSE(single.rowsGo(1, at(1)));
+    single.rowReceived(target("r0"), at(0));
+    REQUIRE_FALSE(single.detectMassRemoval(1, at(1)));
 }
 
 TEST_CASE("a target that is back after trouble stays")
 {
     TargetView view;
-    view.row(target("r1"), at(0));
-    view.trouble(at(1));
-    view.rowGone(TargetId("r1"), at(2));
-    view.row(target("r1"), at(3));
+    view.rowReceived(target("r1"), at(0));
+    view.storeUnreachable(at(1));
+    view.rowRemoved(TargetId("r1"), at(2));
+    view.rowReceived(target("r1"), at(3));
     REQUIRE(view.advance(at(9)).gone.empty());
     REQUIRE(view.find(TargetId("r1")) != nullptr);
 }
@@ -125,17 +125,17 @@
 TEST_CASE("a target that had said that it leaves is gone when its row goes, trouble or not")
 {
     TargetView view;
-    view.row(target("r1"), at(0));
-    view.trouble(at(1));
+    view.rowReceived(target("r1"), at(0));
+    view.storeUnreachable(at(1));
     REQUIRE(view.reportedLeaving({TargetId("r1"), 1}, at(1)).seen.size() == 1);
-    REQUIRE(view.rowGone(TargetId("r1"), at(2)).gone.size() == 1);
+    REQUIRE(view.rowRemoved(TargetId("r1"), at(2)).gone.size() == 1);
 }
 
 TEST_CASE("word that a target leaves doesn't count for its next start")
 {
     // Under the same id a new process is up; word of its predecessor's leaving is still on its way. Believed, a sound target gets nothing.
     TargetView view;
-    view.row(target("r1", 2), at(0));
+    view.rowReceived(target("r1", 2), at(0));
     REQUIRE(view.reportedLeaving({TargetId("r1"), 1}, at(1)).seen.empty());
     REQUIRE_FALSE(view.find(TargetId("r1"))->isLeaving);
 }
