--- a/src/core/admission.cpp
+++ b/src/core/admission.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr std::size_t StartsKept = 256;
-constexpr std::size_t MinStartsForRate = 4; ///< fewer tell nothing about a lane's pace
+constexpr std::size_t MinStartsForRate = 4; ///< with fewer starts, the lane's rate is unknown
 constexpr auto MinRetryAfter = Duration::millis(100);
 constexpr auto DefaultServiceTime = Duration::millis(10);
 
@@ -86,7 +86,7 @@
     auto &classQueue = m_classes[request.priority];
     auto &queue = classQueue.services[request.service];
     if (queue.size == 0) {
-        // A service that was idle doesn't collect credit for it; otherwise its next burst would shut out all others.
+        // An idle service doesn't accumulate credit; otherwise its next burst would starve all other services.
         queue.virtualTime = std::max(queue.virtualTime, classQueue.virtualTime);
     }
     ++queue.size;
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -1,13 +1,13 @@
-// Admission: requests that wait for capacity at a target, in the order that brings most of them home in time.
+// Admission queue: requests that wait for capacity at a target, ordered so that as many as possible meet their deadlines.
 //
-// Priority classes go strictly one after the other, services share by weight within a class, and within a service the earliest
-// deadline goes first. A request that can't be in time behind those ahead of it is refused at once, while its caller can still try
-// elsewhere. The queue is bounded in total and per service.
+// Priority classes are served in strict order. Within a class, services share by weight (fair queuing), and within a service the request
+// with the earliest latest start (deadline minus service time) goes first. A request that would miss its deadline behind those ahead of it
+// is refused at once, while its caller can still try elsewhere. The queue is bounded in total and per service.
 //
-// A lane is what competes for the same targets: requests with the same artifacts (or the same plain service).
+// A lane is a set of requests that compete for the same targets: those with the same artifacts, or for the same plain service.
 //
 // Index of sections (search for [SECTION]):
-//   Values           what waits, and the answer to an offer
+//   Values           waiting requests, the answer to an offer, options
 //   AdmissionQueue   the queue
 #pragma once
 
@@ -61,9 +61,9 @@
 };
 
 struct AdmissionOptions {
-    std::size_t maxWaiting = 4096; ///< requests waiting in all
-    double maxServiceShare = 0.5; ///< of `maxWaiting`
-    Duration rateWindow = Duration::seconds(2); ///< over which the pace of a lane is measured
+    std::size_t maxWaiting = 4096; ///< requests in the whole queue
+    double maxServiceShare = 0.5; ///< share of `maxWaiting` that one service may fill
+    Duration rateWindow = Duration::seconds(2); ///< over which the start rate of a lane is measured
 };
 
 // [SECTION] AdmissionQueue
@@ -78,19 +78,20 @@
 
     // Queries
     auto size() const -> std::size_t;
-    auto waiting(const LaneName &lane) const -> std::size_t;
+    auto waiting(const LaneName &lane) const -> std::size_t; ///< of all classes
     auto isWaiting(const RequestId &request) const -> bool;
-    auto expectedWait(const LaneName &lane, Priority priority, TimePoint now) const -> Duration; ///< for one more request of that class
+    /// Expected wait of one more request of that class; 0: unknown, or no request is ahead of it.
+    auto expectedWait(const LaneName &lane, Priority priority, TimePoint now) const -> Duration;
 
     // Commands
-    /// Queues the request, or says why not.
+    /// Queues the request, or returns the reason for its refusal.
     auto offer(const WaitingRequest &request, TimePoint now) -> AdmissionAnswer;
-    /// Takes out the request that should start next, of those whose lane has capacity.
+    /// Removes and returns the request that should start next, among those whose lane has capacity.
     auto next(TimePoint now, const HasCapacity &hasCapacity) -> std::optional<RequestId>;
-    /// Takes out those that can't be in time any more; they were certainly not run.
+    /// Removes and returns the requests that can't meet their deadline any more; they were certainly not run.
     auto expire(TimePoint now) -> std::vector<RequestId>;
     auto remove(const RequestId &request) -> void; ///< the caller left
-    /// The weight of a service in the fairness between services; 1 if never set.
+    /// Sets the weight of a service in fair queuing; 1 by default.
     auto setShare(const ServiceName &service, double share) -> void;
 
 private:
@@ -103,13 +104,13 @@
     using Ordered = std::set<Key>;
     using Lanes = std::map<LaneName, Ordered>;
     struct ServiceQueue {
-        double virtualTime = 0; ///< service received, divided by its share
+        double virtualTime = 0; ///< service time received, divided by the service's share
         Lanes lanes;
         std::size_t size = 0;
     };
     struct ClassQueue {
         std::map<ServiceName, ServiceQueue> services;
-        double virtualTime = 0; ///< of the service that was served last
+        double virtualTime = 0; ///< of the service that was served last, when its request started
     };
     auto dequeue(const WaitingRequest &request) -> void;
     auto share(const ServiceName &service) const -> double;
@@ -121,7 +122,7 @@
     std::unordered_map<RequestId, WaitingRequest> m_requests;
     std::map<ServiceName, double> m_shares;
     std::map<ServiceName, std::size_t> m_countByService;
-    std::map<LaneName, std::deque<TimePoint>> m_starts; ///< recent ones while the lane had a queue
+    std::map<LaneName, std::deque<TimePoint>> m_starts; ///< recent starts while the lane had a queue
 };
 
 } // namespace KingCup
--- a/src/core/cellkeeper.cpp
+++ b/src/core/cellkeeper.cpp
@@ -19,7 +19,7 @@
     return m_keeper;
 }
 
-/// Hosts with more processor time first, then the same order at all gateways.
+/// Hosts with a larger processor share first; ties in an order that is the same at all gateways.
 auto CellKeeper::isBefore(const CellMember &a, const CellMember &b) const -> bool
 {
     const auto rank = [](const CellMember &member) {
--- a/src/core/cellkeeper.h
+++ b/src/core/cellkeeper.h
@@ -1,11 +1,11 @@
-// Which gateway keeps a cell's load view, and who passes it on in each availability zone. Pure.
+// Chooses the keeper, the gateway that aggregates the load reports of a cell, and the relay in each other availability zone. No I/O.
 //
-// No agreement is needed: each gateway reports to the first in a ranking that all know, and nothing depends on there being one keeper. A gateway that
-// has received no sum for a while reports to the next one, and comes back to the first after some seconds.
+// No consensus is needed: all gateways compute the same ranking and each one reports to the first in it, and nothing depends on there being only one keeper.
+// A gateway that has received no sum for `keeperTimeout` reports to the next one in the ranking, and returns to the first after `avoidPeriod`.
 //
 // Index of sections (search for [SECTION]):
-//   Members      who can be chosen
-//   CellKeeper   the choice
+//   Members      the candidates
+//   CellKeeper   the choice of keeper and relays
 #pragma once
 
 #include "core/ids.h"
@@ -24,12 +24,12 @@
 struct CellMember {
     std::string id;
     ZoneName zone;
-    double processorShare = 1; ///< cores of its host that are its own
+    double processorShare = 1; ///< processor cores of its host that are reserved for it
 };
 
 struct CellKeeperOptions {
-    Duration keeperTimeout = Duration::millis(700); ///< without a sum from the keeper, until the next one is chosen: fourteen of its periods
-    Duration avoidPeriod = Duration::seconds(3); ///< a keeper that was silent
+    Duration keeperTimeout = Duration::millis(700); ///< without a sum from the keeper until the next one is chosen: 14 publishing periods
+    Duration avoidPeriod = Duration::seconds(3); ///< a keeper that timed out isn't chosen again for this long
 };
 
 // [SECTION] CellKeeper
@@ -40,15 +40,17 @@
     explicit CellKeeper(std::string self, CellKeeperOptions options = {});
 
     // Queries
-    auto keeper() const -> const std::string &; ///< as last chosen; empty: nobody is known
-    /// The gateways to which a sum goes: all of the keeper's own zone, and one in each other zone, which passes it on. `alive`: gateways known to receive.
+    auto keeper() const -> const std::string &; ///< as last chosen; empty: no gateway is known
+    // A sum is sent to the zone mates and to the relays. `alive`: gateways known to be reachable.
+    /// One gateway in each other zone, which forwards sums to its own zone.
     auto relays(const std::set<std::string> &alive) const -> std::set<std::string>;
+    /// The other gateways in this gateway's zone.
     auto zoneMates(const std::set<std::string> &alive) const -> std::set<std::string>;
 
     // Commands
     auto setMembers(const std::vector<CellMember> &members) -> void; ///< all registered gateways, this one included
     auto sumReceived(const std::string &keeper, TimePoint now) -> void;
-    /// `live`: gateways that are alive. True if the keeper has changed.
+    /// `live`: gateways known to be reachable. True if the keeper has changed.
     auto choose(const std::set<std::string> &live, TimePoint now) -> bool;
 
 private:
@@ -60,7 +62,7 @@
     std::vector<CellMember> m_ranked; ///< the preferred keeper first
     std::map<std::string, TimePoint> m_avoidUntil;
     std::string m_keeper;
-    TimePoint m_receivedAt; ///< of the chosen keeper's last sum, or of its choice
+    TimePoint m_receivedAt; ///< when the keeper's last sum arrived, or when it was chosen
 };
 
 } // namespace KingCup
--- a/src/core/cellload.cpp
+++ b/src/core/cellload.cpp
@@ -1,6 +1,6 @@
 // Index of sections (search for [SECTION]):
-//   CellLoadSum   at the keeper
-//   OwnReports    at each gateway
+//   CellLoadSum   the aggregation, at the keeper
+//   OwnReports    the sum without a gateway's own part, at each gateway
 #include "core/cellload.h"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 namespace
 {
 
-/// Of own reports that no sum has included: a keeper that is lost for longer has its sums begun anew.
+/// Limits the own reports that wait for a sum to include them. A keeper that sends no sum for that long has been replaced, and a new keeper's sums include
+/// only newer reports.
 constexpr std::size_t MaxOwnReports = 64;
-/// Failures travel in whole percents.
+/// Failures are sent in whole percents, so a received value can differ from the own one by this much.
 constexpr double FailureTolerance = 0.011;
 
 } // namespace
--- a/src/core/cellload.h
+++ b/src/core/cellload.h
@@ -1,14 +1,14 @@
-// The load of a cell: what all its gateways have under way at its targets. Pure.
+// The load of a cell: the requests that all its gateways have in flight at its targets. No I/O.
 //
-// One gateway keeps the view: the others report to it, and it publishes the sum. Reports sent by everybody to everybody grow with the square of the gateways:
-// hundreds of them on small hosts would spend more processor time on each other's reports than on requests.
+// One gateway, the keeper, aggregates: the others report to it, and it publishes the sum. If every gateway reported to every other one, the number of reports
+// would grow with the square of the gateways: hundreds of them on small hosts would spend more processor time on reports than on requests.
 //
-// The view holds nothing that can't be rebuilt: a new keeper has all reports within one period of them.
+// The sum holds no state that can't be rebuilt: a new keeper has received all reports after one reporting period.
 //
 // Index of sections (search for [SECTION]):
 //   Messages      a gateway's report, the cell's sum
-//   CellLoadSum   at the keeper
-//   OwnReports    at each gateway: the sum without its own part
+//   CellLoadSum   the aggregation, at the keeper
+//   OwnReports    the sum without a gateway's own part, at each gateway
 #pragma once
 
 #include "core/dispatch.h"
@@ -29,22 +29,22 @@
 
 struct GatewayLoad {
     WorkDigest work;
-    std::vector<SentPrefill> prefill; ///< sent since the last report
+    std::vector<SentPrefill> prefill; ///< sent since the gateway's last report
 };
 
 struct CellTargetLoad {
-    TargetWork sum; ///< failures: the highest of any gateway
-    double nextFailures = 0; ///< the second highest
+    TargetWork sum; ///< of all gateways; failures: the highest of any gateway
+    double nextFailures = 0; ///< the second highest failures of any gateway
     int ejections = 0; ///< gateways that have ejected the target
 };
 
 struct CellLoad {
-    EntryId keeper; ///< one start of it
-    std::uint64_t sequence = 0; ///< rises
+    EntryId keeper; ///< one incarnation of it
+    std::uint64_t sequence = 0; ///< increases with each sum of this keeper
     std::vector<CellTargetLoad> targets;
     std::vector<SentPrefill> prefill; ///< reported since the last sum
-    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< likewise
-    std::map<EntryId, std::uint64_t> reported; ///< by gateway, the last of its reports that is included
+    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< prompt parts reported as prefilled since the last sum
+    std::map<EntryId, std::uint64_t> reported; ///< by gateway, the sequence of its last report that is included
 };
 
 // [SECTION] CellLoadSum
@@ -52,16 +52,17 @@
 class CellLoadSum
 {
 public:
-    /// `lifetime`: of a report; a gateway that is silent for longer no longer counts.
+    /// `lifetime`: a gateway's load counts for this long after its last report.
     explicit CellLoadSum(EntryId keeper, Duration lifetime = Duration::seconds(2));
 
     // Queries
-    auto hasOthers(TimePoint now) const -> bool; ///< reports of gateways other than the keeper
-    auto reportedWithin(Duration span, TimePoint now) const -> std::set<EntryId>; ///< gateways
+    auto hasOthers(TimePoint now) const -> bool; ///< has recent reports of gateways other than the keeper
+    auto reportedWithin(Duration span, TimePoint now) const -> std::set<EntryId>; ///< gateways that have reported within the last `span`
 
     // Commands
     /// A report that isn't newer than the last one of its gateway is ignored.
     auto merge(const GatewayLoad &report, TimePoint now) -> void;
+    /// The next sum. Also resets what was reported since the last one.
     auto take(TimePoint now) -> CellLoad;
 
 private:
@@ -76,8 +77,8 @@
     Duration m_lifetime;
     std::uint64_t m_sequence = 0;
     std::map<EntryId, Report> m_reports;
-    std::map<TargetId, Duration> m_sentPrefill; ///< since the last sum
-    std::vector<std::pair<TargetId, PromptChain>> m_prefilled; ///< likewise
+    std::map<TargetId, Duration> m_sentPrefill; ///< reported since the last sum
+    std::vector<std::pair<TargetId, PromptChain>> m_prefilled; ///< reported since the last sum
 };
 
 // [SECTION] OwnReports
@@ -87,9 +88,9 @@
 public:
     explicit OwnReports(EntryId self);
 
-    /// Keeps a report that was sent, until a sum includes a later one.
+    /// Stores a report that was sent, until a sum includes a later one.
     auto sent(const GatewayLoad &report) -> void;
-    /// The other gateways' part of a sum, as one report of its keeper. Each sum is to be given once, in order.
+    /// The other gateways' part of a sum, in the form of one report of the keeper. Call it once for each sum, in order.
     auto withoutOwn(const CellLoad &cell) -> GatewayLoad;
 
 private:
@@ -100,8 +101,8 @@
     };
 
     EntryId m_self;
-    std::deque<Report> m_reports; ///< the oldest is the one that the last sum included
-    std::uint64_t m_lastIncluded = 0;
+    std::deque<Report> m_reports; ///< oldest first; the first is the one that the last sum included
+    std::uint64_t m_lastIncluded = 0; ///< sequence of the latest report that a sum has included
 };
 
 } // namespace KingCup
--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -1,8 +1,8 @@
 // Index of sections (search for [SECTION]):
 //   State        targets and sends
 //   Choosing     the estimate and the choice
-//   Learning     from what came back
-//   Digests      to and from other entries
+//   Learning     updates from answers and failures
+//   Digests      to and from other gateways
 #include "core/dispatch.h"
 
 #include "core/hashing.h"
@@ -41,7 +41,7 @@
 
 constexpr double MicrosPerMilli = 1000;
 constexpr double MillisPerSecond = 1000;
-constexpr auto MaxBacklogToLearn = Duration::millis(5); // beyond, a first token says little of its own prompt
+constexpr auto MaxBacklogToLearn = Duration::millis(5); // behind a longer backlog, the time to the first token says little about the prompt's own prefill
 
 auto fromMillis(double millis) -> Duration
 {
@@ -53,32 +53,32 @@
     return static_cast<double>(span.inMicros()) / MicrosPerMilli;
 }
 
-/// What is known of one target.
+/// The state of one target.
 struct TargetState {
     TargetDescription description;
     PromptCache cache;
-    int running = 0; ///< own sends without an end
-    std::int64_t tokens = 0; ///< of those, the memory they may take
+    int running = 0; ///< own sends that haven't ended
+    std::int64_t tokens = 0; ///< KV memory that those may take
     PrefillQueue prefillQueue; ///< own sends without a first token
-    RecentPrefill recent; ///< of all entries, as far as they have reported
+    RecentPrefill recent; ///< sent by all gateways, as far as they have reported it
     TargetHealth health;
 };
 
-/// One send without an end.
+/// One send that hasn't ended.
 struct Send {
     TargetId target;
     TargetIncarnation incarnation;
     std::string model;
     TimePoint at;
-    TimePoint firstAt; ///< its first token, once it has come
+    TimePoint firstAt; ///< of its first token; only if hasFirst
     Duration expectedFirst;
     Duration backlog;
-    double prefillMillis = 0; ///< expected for its own prompt
-    int ownTokens = 0; ///< of its prompt, those that no other request shares
+    double prefillMillis = 0; ///< expected for the uncached part of its prompt
+    int ownTokens = 0; ///< the part of its prompt that no other request shares
     int prefillTokens = 0;
     UrgencyBand band = UrgencyBand::Usual;
     std::int64_t tokens = 0;
-    double slowness = 1; ///< of the target, as it was taken to be
+    double slowness = 1; ///< of the target, as estimated when it was sent
     bool hasFirst = false;
 };
 
@@ -89,9 +89,9 @@
     Duration ifPatient;
     Duration backlog;
     int prefillTokens = 0;
-    bool othersPrefill = false; ///< another entry has pending prefill there
-    bool isDraining = false; ///< the copy there is to be unloaded
-    double cost = 0; ///< milliseconds, with what only serves the choice
+    bool othersPrefill = false; ///< another gateway has pending prefill at the target
+    bool isDraining = false; ///< the replica there is to be unloaded
+    double cost = 0; ///< milliseconds; includes penalties and bonuses that aren't part of the expected times
 };
 
 } // namespace
@@ -102,11 +102,11 @@
     std::map<ServiceName, EngineDeclaration> engines;
     std::unordered_map<std::uint64_t, Send> sends;
     SendId lastSend;
-    std::map<std::pair<TargetId, std::string>, int> runningByModel; ///< own sends without an end, by target and model
+    std::map<std::pair<TargetId, std::string>, int> runningByModel; ///< own sends that haven't ended, by target and model
     PeerLoads peerLoads;
     PrefillPace pace;
     std::map<ServiceName, double> plainServiceMillis;
-    std::map<TargetId, double> newPrefill; ///< milliseconds, not reported yet
+    std::map<TargetId, double> newPrefill; ///< milliseconds sent, not reported yet
     RequestCost requestCost;
     std::vector<std::pair<TargetId, PromptChain>> newlyPrefilled;
     std::uint64_t digests = 0;
@@ -230,19 +230,19 @@
     }
 }
 
-/// By own experience: until its time is over, and then until the one request that is tried has come through.
+/// Ejected by this gateway: until the ejection is over, and after that while the probe request is in flight.
 auto Dispatcher::Private::isEjectedHere(const TargetState &state, TimePoint now) const -> bool
 {
     return state.health.isEjected(now) || (state.health.needsProbe() && sends.contains(state.health.probe().value()));
 }
 
-/// Others' experience counts as long as there is none here that is newer: with many entries each would otherwise lose some requests to find out.
+/// An ejection reported by another gateway counts until a later success here: otherwise each of many gateways would lose some requests to detect the failure.
 auto Dispatcher::Private::isEjected(const TargetId &id, const TargetState &state, TimePoint now) const -> bool
 {
     return isEjectedHere(state, now) || peerLoads.isEjected(id, state.health.succeededAt(), now);
 }
 
-/// Own experience and that of others, whichever is worse: a target that answers with errors would otherwise cost every entry some requests.
+/// The higher of the own failures and those reported by others: otherwise a target that answers with errors would cost every gateway some requests.
 auto Dispatcher::Private::reportedFailures(const TargetId &id, const TargetState &state, TimePoint now) const -> double
 {
     return std::max(state.health.failures(now), peerLoads.worstFailures(id, now));
@@ -250,7 +250,8 @@
 
 // [SECTION] Choosing
 
-/// Until a slot in a full runner's batch is free for a request of that band: streams end one after the other, and those that wait and are as urgent go first.
+/// Milliseconds until a slot in the runner's batch is free for a request of that band: streams end one after another, and waiting requests that are at least
+/// as urgent go first.
 auto Dispatcher::Private::slotWait(const TargetState &state, const PeerWork &peers, int slots, UrgencyBand band) const -> double
 {
     const double eachMillis = std::max(requestCost.prefillSeconds() * MillisPerSecond, 1.0);
@@ -262,7 +263,7 @@
     return std::max(lacking, 0.0) * requestCost.slotSeconds() * MillisPerSecond;
 }
 
-/// Prefill beyond what the runner's streams bear between two events, in milliseconds.
+/// Milliseconds of prefill that exceed what the runner's streams allow between two events.
 auto Dispatcher::Private::stallMillis(const TargetState &state, double prefill, Duration pauseGoal, TimePoint now) const -> double
 {
     return std::max(state.recent.within(pauseGoal, now) + prefill - toMillis(pauseGoal) * options.prefillShare, 0.0);
@@ -282,7 +283,7 @@
     const double patient = before(UrgencyBand::Patient) - backlog;
     const auto inMemory = state.tokens + peers.tokens + request.promptTokens + request.outputTokens;
     const int slots = engine == nullptr ? state.description.slots : engine->slots;
-    // Without memory the request waits until others end, or has them thrown out and prefilled again.
+    // If the KV memory is full, the request waits until others end, or others are evicted and have to be prefilled again.
     constexpr double MemoryFullMillis = 1000;
     if (engine != nullptr && inMemory > engine->kvTokens) {
         backlog += MemoryFullMillis * static_cast<double>(inMemory - engine->kvTokens) / std::max(engine->kvTokens, 1);
@@ -305,10 +306,10 @@
 {
     const double time = plainServiceTime(request.service) * state.health.slowness(now);
     const double slots = std::max(state.description.slots, 1);
-    // Calls that others had under way when they reported have ended one after the other since.
+    // Requests that other gateways had in flight when they reported have been ending since then.
     const double before = state.running + peers.running * std::exp(-peers.ageMillis / std::max(time, 1.0));
     const double wait = std::max(before + 1 - slots, 0.0) / slots * time;
-    constexpr double LoadShare = 0.25; // of the service time: an emptier target is a little quicker also below its slots
+    constexpr double LoadShare = 0.25; // of the service time: a target with more free slots is slightly faster
     estimate.backlog = fromMillis(wait);
     estimate.first = fromMillis(wait + time);
     estimate.cost = wait + time * (1 + LoadShare * before / slots);
@@ -331,11 +332,12 @@
     if (options.isConnected && !options.isConnected(state.description.address)) {
         estimate.cost += toMillis(options.newConnectionPenalty);
     }
-    estimate.cost += toMillis(state.description.warmupRemaining) > 0 ? estimate.cost : 0; // still slow after its start
+    estimate.cost += toMillis(state.description.warmupRemaining) > 0 ? estimate.cost : 0; // doubled while the target is slow after its start
     return estimate;
 }
 
-/// Where a prompt's shared prefix is prefilled if no runner is known to have it cached: all entries rank the runners alike.
+/// Lowers the cost of the runner that ranks first for the prompt's shared prefix. All gateways compute the same ranking, so they choose the same runner for a
+/// prefix that isn't known to be cached anywhere.
 auto Dispatcher::Private::applyRankBonus(const DispatchRequest &request, std::vector<Estimate> &estimates) const -> void
 {
     if (request.prompt.size() < 2) {
@@ -356,8 +358,8 @@
     }
 }
 
-/// A plain request lasts for less than the age of what is known of the other entries' sends. If all chose the target that looked emptiest, they
-/// would fill it together and leave the others idle; among two drawn at random, the better one spreads their requests.
+/// Reduces the estimates to a few healthy targets drawn at random. A plain request takes less time than the digests of the other gateways are old: if all
+/// gateways chose the target that looked least loaded, they would fill it together and leave the others idle. The better of two random targets spreads them.
 auto Dispatcher::Private::sampleCandidates(std::vector<Estimate> &estimates, TimePoint now) const -> void
 {
     std::vector<Estimate> healthy;
@@ -384,7 +386,7 @@
     DispatchChoice choice;
     choice.refusal = DispatchRefusal::NoTarget;
     std::vector<Estimate> estimates;
-    bool hasStayingReplica = false; // a copy of the model that isn't draining, with its adapter or not
+    bool hasStayingReplica = false; // a replica of the model that isn't draining, with or without the adapter
     for (const auto &[id, state] : d->targets) {
         const auto &description = state.description;
         if (description.service != request.service || description.isLeaving) {
@@ -413,7 +415,7 @@
         estimates.back().isDraining = isDraining;
     }
     if (hasStayingReplica && std::erase_if(estimates, [](const Estimate &estimate) { return estimate.isDraining; }) > 0 && estimates.empty()) {
-        // The adapter is loaded beside a copy that stays, within milliseconds; sent where it is now, its requests would keep that copy from ever going.
+        // A replica that stays can load the adapter within milliseconds. Requests sent to the draining replica could keep it from ever being unloaded.
         choice.refusal = DispatchRefusal::AdapterMissing;
     }
     if (estimates.empty()) {
@@ -512,7 +514,7 @@
     if (send.backlog <= MaxBacklogToLearn) {
         d->pace.observe(send.model, send.prefillTokens, took);
     }
-    constexpr double MinExpected = 20; // milliseconds; below, chance outweighs
+    constexpr double MinExpected = 20; // milliseconds; for shorter expectations, the ratio is mostly chance
     state.health.observeSlowness(took / std::max(toMillis(send.expectedFirst) / send.slowness, MinExpected), now);
 }
 
@@ -589,7 +591,7 @@
     for (const auto &[id, state] : d->targets) {
         const double failures = state.health.failures(now);
         constexpr double MinReportedFailures = 0.05;
-        // Passed on for a while after its time: who detected it also tries whether it is well again.
+        // Reported for a while after the ejection is over: the gateway that detected the failure also sends the probe.
         const bool isEjected = d->isEjectedHere(state, now) || state.health.wasEjected(now, d->options.digestLifetime);
         if (state.running > 0 || failures > MinReportedFailures || isEjected) {
             TargetWork work {id, state.running, {}, state.tokens, failures, isEjected};
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -1,18 +1,18 @@
-// Dispatch: which target gets a request, where entries reach targets directly. Pure: what targets say, what is sent and what comes back
-// go in with a time; a choice comes out.
+// Dispatch: chooses the target of a request where gateways reach targets directly. No I/O: target descriptions, sends and answers are passed in with a
+// time; a choice is returned.
 //
-// A runner's engine prefills prompts one after another between the steps of its running streams, so the time to a request's first token is the pending
-// prefill there, plus what of its own prompt isn't cached. Load reports of engines are late and cost a call; but all work goes through the entries, so
-// what each has sent without an answer yet (its own sends, and the others' digests) shows the same sooner. What that misses (another pace of a runner,
-// failures) is learnt from the answers.
+// A runner's engine prefills prompts one after another between the decode steps of its running streams, so the time to a request's first token is the pending
+// prefill at the runner plus the prefill of the uncached part of the request's own prompt. Load reports of engines are late and cost a call. But all requests
+// go through the gateways, so the sends that have no answer yet (this gateway's own, and those in the digests of the others) show the same load sooner. What
+// they don't show (a runner that is faster or slower than expected, failures) is learnt from the answers.
 //
-// Requests with a common prefix go where it is cached, as long as that runner isn't later than another that would have to prefill it again. Where it is
-// cached nowhere, all entries rank the runners alike, so that they choose the same one.
+// Requests with a common prefix go to a runner that has it cached, unless another runner would deliver the first token sooner in spite of prefilling it again.
+// If no runner has it cached, all gateways rank the runners in the same way, so that they choose the same one.
 //
 // Index of sections (search for [SECTION]):
-//   Requests    what is to be sent
-//   Choices     a target or a refusal
-//   Options     constants
+//   Requests    the input of a choice
+//   Choices     a target or a refusal; how a send ended
+//   Options     constants of the estimate
 //   Dispatcher  the state and the decision
 #pragma once
 
@@ -43,22 +43,22 @@
     ServiceName service;
     std::string model; ///< empty: a plain service
     std::string adapter; ///< of that model; empty: none
-    std::vector<PromptChain> prompt; ///< the last chain is the request's own
+    std::vector<PromptChain> prompt; ///< the last part is the request's own, the parts before it may be shared
     int promptTokens = 0;
-    int outputTokens = 0; ///< the most it may make
+    int outputTokens = 0; ///< upper limit
     UrgencyBand band = UrgencyBand::Usual;
-    Duration pauseGoal; ///< streams: the longest pause between events that is on time; 0: none is aimed at
-    std::vector<TargetId> excluded; ///< tried already, or known not to take it
+    Duration pauseGoal; ///< streams: the longest pause between events that is still on time; 0: no goal
+    std::vector<TargetId> excluded; ///< already tried, or known to refuse the request
 };
 
 // [SECTION] Choices
 
 enum class DispatchRefusal {
     None,
-    NoTarget, ///< no target of the service is up
-    NotHeld, ///< none that is up holds the model
-    AdapterMissing, ///< runners hold the model, none of them the adapter
-    AllExcluded, ///< every target that could take it was tried
+    NoTarget, ///< no target of the service is known, or all are leaving
+    NotHeld, ///< no runner of the service holds the model
+    AdapterMissing, ///< runners hold the model, but none that may take the request has the adapter loaded
+    AllExcluded, ///< every target that could take the request is excluded
 };
 auto toString(DispatchRefusal refusal) -> const char *;
 
@@ -66,44 +66,45 @@
     TargetId target; ///< empty if refused
     DispatchRefusal refusal = DispatchRefusal::None;
     Endpoint address;
-    Duration expectedFirst; ///< until the first token, or a plain service's answer
-    Duration expectedIfPatient; ///< likewise, if everything else there goes first
-    Duration backlog; ///< of expectedFirst, what others must wait for first
-    int prefillTokens = 0; ///< of the prompt
-    int candidates = 0; ///< targets that could have taken it
-    bool isLastResort = false; ///< requests don't get through to it of late, nor to any other that could take it
+    Duration expectedFirst; ///< until the first token, or until a plain service's answer
+    Duration expectedIfPatient; ///< the same if the request goes behind everything else at the target
+    Duration backlog; ///< part of expectedFirst: the wait for other requests
+    int prefillTokens = 0; ///< uncached tokens of the prompt
+    int candidates = 0; ///< targets that could take the request
+    bool isLastResort = false; ///< the target is ejected, and so is every other one that could take the request
 };
 
-/// How a send ended, for what is thought of its target.
+/// How a send ended, for the health of its target.
 enum class SendResult {
     Delivered,
-    Rejected, ///< not run: full or leaving. Says nothing about health
-    Failed, ///< cut off midway, or an error of the target
-    NoAnswer, ///< the target broke off before it gave any answer: requests don't get through to it
-    Cancelled, ///< by the client: says nothing about health
+    Rejected, ///< not run: the target is full or leaving. Doesn't affect its health
+    Failed, ///< the answer was cut off, or the target returned an error
+    NoAnswer, ///< the connection broke, or sent data wasn't acknowledged, before any answer: ejects the target
+    Cancelled, ///< by the client. Doesn't affect the target's health
 };
 
 // [SECTION] Options
 
 struct DispatchOptions {
     ZoneName zone; ///< this process's own
-    Duration otherZonePenalty = Duration::millis(4); ///< added to targets of other zones: there and back, and what the bytes between zones cost
-    std::function<bool(const Endpoint &address)> isConnected; ///< a kept connection could be used; none: not known
-    /// Added to targets without one: some round trips, and a place of the few hundred that a target has.
+    Duration otherZonePenalty = Duration::millis(4); ///< cost of targets in other zones: the round trip, and the price of traffic between zones
+    std::function<bool(const Endpoint &address)> isConnected; ///< whether an idle connection can be reused; null: unknown
+    /// Cost of targets without such a connection: some round trips, and one of the few hundred connections that a target accepts.
     Duration newConnectionPenalty = Duration::millis(5);
     PrefillPaceOptions pace;
-    Duration plainServiceTime = Duration::millis(60); ///< of a plain service's request, until it was observed
-    /// Tokens. During the prefill of a prompt as long, half a second passes between two events of every stream there; where few run, few are stalled.
+    Duration plainServiceTime = Duration::millis(60); ///< service time of a plain service, before the first observation
+    /// While a prompt of this length is prefilled, half a second passes between two events of every stream of the runner, so a prompt as long as this or longer
+    /// should go to a runner with few streams.
     int longPromptTokens = 18000;
-    Duration stallPenaltyPerStream = Duration::millis(60); ///< that such a prompt may wait longer elsewhere, for each stream that it would stall
-    double prefillShare = 0.5; ///< of the longest pause aimed at, for prefill: the rest is taken by the steps of the streams
-    int plainChoices = 2; ///< plain services: so many targets, drawn at random, are compared for each request
-    std::uint64_t seed = 0; ///< of that draw; another one at each entry
-    double learnRate = 0.1; ///< weight of one observation
-    double unreportedHitProbability = 0.4; ///< how likely an unreported prefix is cached at the runner that ranks first for it
+    Duration stallPenaltyPerStream = Duration::millis(60); ///< cost of such a prompt for each stream that it would stall
+    double prefillShare = 0.5; ///< share of the pause goal that prefill may take: the rest is needed for the decode steps of the streams
+    int plainChoices = 2; ///< plain services: number of targets, drawn at random, that are compared for each request
+    std::uint64_t seed = 0; ///< of that draw; a different one at each gateway
+    double learnRate = 0.1; ///< weight of one observation in the mean service time of a plain service
+    double unreportedHitProbability = 0.4; ///< that the runner which ranks first for a prefix has it cached though that isn't known
     TargetHealthOptions health;
-    double failureThreshold = 0.5; ///< a target above this, and above the others, gets work only if nobody else can take it
-    Duration digestLifetime = Duration::seconds(2); ///< a digest that is older no longer counts
+    double failureThreshold = 0.5; ///< a target with a larger recent share of failures gets requests only if no other can take them
+    Duration digestLifetime = Duration::seconds(2); ///< an older digest no longer counts
 };
 
 // [SECTION] Dispatcher
@@ -119,39 +120,39 @@
     // Queries
     auto targets() const -> std::vector<TargetId>;
     auto description(const TargetId &target) const -> const TargetDescription *; ///< null: not known
-    auto running(const TargetId &target, TimePoint now) const -> int; ///< of all entries
-    auto ownRunning(const TargetId &target, const std::string &model) const -> int; ///< this entry's sends of one model
-    auto failures(const TargetId &target, TimePoint now) const -> double;
-    auto isEjected(const TargetId &target, TimePoint now) const -> bool; ///< requests don't get through to it, here or at another entry
+    auto running(const TargetId &target, TimePoint now) const -> int; ///< requests in flight, of all gateways
+    auto ownRunning(const TargetId &target, const std::string &model) const -> int; ///< this gateway's requests in flight for one model
+    auto failures(const TargetId &target, TimePoint now) const -> double; ///< recent share at this gateway, 0 (none) to 1 (all)
+    auto isEjected(const TargetId &target, TimePoint now) const -> bool; ///< by this gateway, or as reported by another one
     auto choose(const DispatchRequest &request, TimePoint now) const -> DispatchChoice;
-    /// Prefill time of a send that hasn't ended, where nothing else is prefilled; without what was cached when it was sent.
+    /// Expected prefill time of a send that hasn't ended, if nothing else is prefilled. Excludes the part of the prompt that was cached when it was sent.
     auto prefillTime(SendId send) const -> Duration;
 
-    auto loadTime(const ServiceName &service, const std::string &model) const -> Duration; ///< from the weight store; 0: not declared
-    auto requestCost() const -> const RequestCost &; ///< of runners, by model
+    auto loadTime(const ServiceName &service, const std::string &model) const -> Duration; ///< of a replica from the weight store; 0: not declared
+    auto requestCost() const -> const RequestCost &; ///< runner time per request, by model
 
-    // Commands: who is there
+    // Commands: engines and targets
     auto adoptEngine(const ServiceName &service, const EngineDeclaration &engine) -> void;
-    /// New, changed, or started anew: then nothing is known of what it holds and does.
+    /// A target is new, has changed or has restarted. A restart resets the target's state.
     auto targetSeen(const TargetDescription &target, TimePoint now) -> void;
     auto targetGone(const TargetId &target) -> void;
-    /// What a runner holds, where that is known better than from its description.
+    /// Replaces the models of a runner's description by a more recent list.
     auto targetHolds(const TargetId &target, const std::vector<ResidentModel> &models) -> void;
 
-    // Commands: what happened
+    // Commands: sends and their results
     auto sent(const DispatchRequest &request, const TargetId &target, TimePoint now) -> SendId;
     auto firstToken(SendId send, TimePoint now) -> void;
-    /// `bytes`: of the answer.
+    /// `bytes`: length of the answer.
     auto ended(SendId send, SendResult result, TimePoint now, std::size_t bytes = 0) -> void;
-    /// A connection was not accepted, or what is sent isn't acknowledged.
+    /// A connection was not accepted, or sent data isn't acknowledged. Ejects the target.
     auto unreachable(const TargetId &target, TimePoint now) -> void;
 
-    // Other entries
-    /// Also resets what was prefilled since the last call.
+    // Other gateways
+    /// This gateway's digest for the others. Also resets the list of prompt parts prefilled since the last call.
     auto takeDigest(const EntryId &self, TimePoint now) -> WorkDigest;
     auto merge(const WorkDigest &digest, TimePoint now) -> void;
     auto gatewayGone(const EntryId &entry) -> void;
-    /// Resets what was sent since the last call. A digest is too old for this: what comes together comes within a few steps of an engine.
+    /// Prefill sent since the last call; resets it. Digests are too infrequent for this: prompts that stall streams together arrive within a few engine steps.
     auto takeSentPrefill() -> std::vector<SentPrefill>;
     auto merge(const std::vector<SentPrefill> &sent, TimePoint now) -> void;
 
--- a/src/core/loadmeter.h
+++ b/src/core/loadmeter.h
@@ -1,4 +1,4 @@
-// The pace at which copies may be loaded from the weight store, which all runners share. Pure.
+// Limits the rate at which replicas are loaded from the weight store, which all runners share. No I/O.
 #pragma once
 
 #include "core/units.h"
@@ -8,18 +8,18 @@
 namespace KingCup
 {
 
-/// The loads from the weight store that may begin, counted over a sliding window. A new holder begins with nothing: what its predecessor
-/// began counts too.
+/// Sliding-window rate limit for loads from the weight store. A new lease holder doesn't know which loads its predecessor has started, so its
+/// allowance starts at 0 and grows over one window.
 class LoadMeter
 {
 public:
-    /// `perSecond` 0: not limited.
+    /// `perSecond` 0: not limited. `overshoot`: factor on the rate.
     auto setRate(double perSecond, Duration window, double overshoot) -> void;
 
-    auto available(TimePoint now) const -> int;
+    auto available(TimePoint now) const -> int; ///< loads that may start now
 
-    auto began(TimePoint now) -> void;
-    auto reset(TimePoint now) -> void;
+    auto began(TimePoint now) -> void; ///< a load has started
+    auto reset(TimePoint now) -> void; ///< this process has become the lease holder
 
 private:
     double m_perSecond = 0;
--- a/src/core/peerloads.cpp
+++ b/src/core/peerloads.cpp
@@ -58,7 +58,7 @@
         age += toMillis(now - report.at);
         ++reports;
     }
-    // One engine works for all of them: since their reports, it has prefilled once for as long as time has passed, not once for each.
+    // All reports are about one engine: since they arrived it has prefilled for the elapsed time once, not once per report.
     sum.ageMillis = reports > 0 ? age / reports : 0;
     double left = sum.ageMillis;
     for (auto &pending : sum.pendingPrefill) {
--- a/src/core/peerloads.h
+++ b/src/core/peerloads.h
@@ -1,10 +1,10 @@
-// What other entries have reported of their work at targets. Pure.
+// The load that other gateways have reported for each target. No I/O.
 //
-// Reports age: what was yet to be prefilled when they were written has been worked on since, and one that is older than its lifetime no longer counts.
+// The pending prefill of a report is reduced by the time that has passed since it arrived, and a report that is older than its lifetime no longer counts.
 //
 // Index of sections (search for [SECTION]):
-//   Reports     what entries send each other
-//   PeerLoads   the last report of each
+//   Reports     what gateways send each other
+//   PeerLoads   the last report of each gateway
 #pragma once
 
 #include "core/ids.h"
@@ -24,37 +24,37 @@
 
 // [SECTION] Reports
 
-/// One entry's work at one target.
+/// One gateway's requests in flight at one target.
 struct TargetWork {
     TargetId target;
-    int running = 0; ///< sends without an end
-    std::array<Duration, UrgencyBands> pendingPrefill; ///< by its own estimate, by band
-    std::int64_t tokens = 0; ///< memory that its running requests may take
-    double failures = 0; ///< 0 (none) to 1 (all of late)
-    bool isEjected = false; ///< requests don't get through to it
+    int running = 0; ///< sends that haven't ended
+    std::array<Duration, UrgencyBands> pendingPrefill; ///< by band, as the gateway estimates it
+    std::int64_t tokens = 0; ///< KV memory that its running requests may take
+    double failures = 0; ///< recent share, 0 (none) to 1 (all)
+    bool isEjected = false; ///< requests get no answer from it
 };
 
-/// Prefill that one entry has sent to a target since its last report.
+/// Prefill that one gateway has sent to a target since its last report.
 struct SentPrefill {
     TargetId target;
     Duration prefill;
 };
 
 struct WorkDigest {
-    EntryId entry; ///< one start of a process: "ID#INCARNATION", or a bare id
-    std::uint64_t sequence = 0; ///< a lower one than the last is ignored
+    EntryId entry; ///< one incarnation of a gateway: "ID#INCARNATION", or the id only
+    std::uint64_t sequence = 0; ///< a digest that isn't newer than the last one is ignored
     std::vector<TargetWork> work;
-    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< prompt beginnings that its sends made targets prefill since the last digest
+    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< prompt parts that targets prefilled for its sends since the last digest
 };
 
 // [SECTION] PeerLoads
 
-/// The others' work at one target, summed up.
+/// Sum of the other gateways' work at one target.
 struct PeerWork {
     int running = 0;
     BandMillis pendingPrefill {};
     std::int64_t tokens = 0;
-    double ageMillis = 0; ///< of the reports, in the mean
+    double ageMillis = 0; ///< mean age of the reports
 };
 
 class PeerLoads
@@ -63,17 +63,17 @@
     explicit PeerLoads(Duration lifetime = Duration::seconds(2));
 
     // Queries
-    auto size() const -> std::size_t; ///< reports kept, old ones included
-    auto hasFresh(TimePoint now) const -> bool;
+    auto size() const -> std::size_t; ///< reports kept, including expired ones
+    auto hasFresh(TimePoint now) const -> bool; ///< any report that hasn't expired
     auto work(const TargetId &target, TimePoint now) const -> PeerWork;
     auto worstFailures(const TargetId &target, TimePoint now) const -> double; ///< 0 without a report
-    /// Some entry reports the target as ejected, later than `since`.
+    /// Another gateway has reported the target as ejected after `since`.
     auto isEjected(const TargetId &target, TimePoint since, TimePoint now) const -> bool;
 
     // Commands
-    /// False if a later digest of that entry is known.
+    /// False if the digest isn't newer than the last one of that gateway.
     auto merge(const WorkDigest &digest, TimePoint now) -> bool;
-    /// `entry`: all starts of that process.
+    /// Drops the reports of all incarnations of that gateway; `entry` may also name a single incarnation.
     auto gatewayGone(const EntryId &entry) -> void;
 
 private:
@@ -82,7 +82,7 @@
         TimePoint at;
         std::map<TargetId, TargetWork> work;
     };
-    auto find(const Report &report, const TargetId &target, TimePoint now) const -> const TargetWork *; ///< null: none, or too old
+    auto find(const Report &report, const TargetId &target, TimePoint now) const -> const TargetWork *; ///< null: none, or expired
 
     Duration m_lifetime;
     std::map<EntryId, Report> m_reports;
--- a/src/core/prefillpace.h
+++ b/src/core/prefillpace.h
@@ -1,8 +1,8 @@
-// How long models' prompts take to prefill, learnt from first tokens. Pure.
+// Estimates the prefill time of each model's prompts from observed times to the first token. No I/O.
 //
-// What is seen is mostly more than prefill alone takes, so observations below count much more than those above. The engine's first step is learnt from
-// short prompts and the pace from the others: with too long a step, prefill would seem quicker than it is, and runners would get more prompts at once
-// than their streams can bear.
+// Most observations include more than prefill alone, so observations below the estimate weigh much more than those above it. The duration of the engine's
+// first step is learnt from short prompts, the prefill rate from long ones: if the step were overestimated, prefill would appear faster than it is, and a
+// runner would get so many prompts at once that its streams stall.
 #pragma once
 
 #include "core/units.h"
@@ -14,8 +14,8 @@
 {
 
 struct PrefillPaceOptions {
-    double millisPerToken = 0.03; ///< until it was observed; engines of the sizes in use do 20 to 200 tokens a ms
-    Duration firstStep = Duration::millis(15); ///< of an engine, beside prefill; until it was observed
+    double millisPerToken = 0.03; ///< before the first observation; engines of the sizes in use prefill 20 to 200 tokens per ms
+    Duration firstStep = Duration::millis(15); ///< an engine's first decode step, without prefill; before the first observation
 };
 
 class PrefillPace
@@ -26,7 +26,7 @@
     auto millisPerToken(const std::string &model) const -> double;
     auto firstStepMillis(const std::string &model) const -> double;
 
-    /// `took`: milliseconds from a send to its first token, at a runner without a backlog.
+    /// `took`: milliseconds from a send to its first token, at a runner that had no backlog.
     auto observe(const std::string &model, int prefillTokens, double took) -> void;
 
 private:
--- a/src/core/prefillqueue.cpp
+++ b/src/core/prefillqueue.cpp
@@ -11,7 +11,7 @@
     return std::accumulate(pending.begin(), pending.begin() + static_cast<int>(band) + 1, 0.0);
 }
 
-/// One that takes longer than expected isn't done either: a tenth of it stays until its first token comes.
+/// Prefill that takes longer than expected isn't finished: a tenth of the estimate stays until the first token arrives.
 auto PrefillQueue::PendingPrompt::left(TimePoint now) const -> double
 {
     constexpr double MinShare = 0.1;
@@ -22,15 +22,15 @@
 auto PrefillQueue::byBand(TimePoint now) const -> BandMillis
 {
     BandMillis sums {};
-    for (const auto &read : m_prompts) {
-        sums.at(static_cast<std::size_t>(read.since ? UrgencyBand::Urgent : read.band)) += read.left(now);
+    for (const auto &prompt : m_prompts) {
+        sums.at(static_cast<std::size_t>(prompt.since ? UrgencyBand::Urgent : prompt.band)) += prompt.left(now);
     }
     return sums;
 }
 
 auto PrefillQueue::waiting(UrgencyBand band) const -> int
 {
-    return static_cast<int>(std::count_if(m_prompts.begin(), m_prompts.end(), [&](const PendingPrompt &read) { return read.band <= band; }));
+    return static_cast<int>(std::count_if(m_prompts.begin(), m_prompts.end(), [&](const PendingPrompt &prompt) { return prompt.band <= band; }));
 }
 
 auto PrefillQueue::add(SendId send, UrgencyBand band, double millis, bool othersIdle, TimePoint now) -> void
@@ -41,8 +41,8 @@
 
 auto PrefillQueue::remove(SendId send, TimePoint now) -> void
 {
-    std::erase_if(m_prompts, [&](const PendingPrompt &read) { return read.send == send; });
-    const bool isActive = std::any_of(m_prompts.begin(), m_prompts.end(), [](const PendingPrompt &read) { return read.since.has_value(); });
+    std::erase_if(m_prompts, [&](const PendingPrompt &prompt) { return prompt.send == send; });
+    const bool isActive = std::any_of(m_prompts.begin(), m_prompts.end(), [](const PendingPrompt &prompt) { return prompt.since.has_value(); });
     const auto next = std::min_element(m_prompts.begin(), m_prompts.end(), [](const PendingPrompt &a, const PendingPrompt &b) { return a.band < b.band; });
     if (!isActive && next != m_prompts.end()) {
         next->since = now;
@@ -52,16 +52,16 @@
 auto RecentPrefill::within(Duration span, TimePoint now) const -> double
 {
     double sum = 0;
-    for (auto read = m_prompts.rbegin(); read != m_prompts.rend() && now - read->at < span; ++read) {
-        sum += read->millis;
+    for (auto prompt = m_prompts.rbegin(); prompt != m_prompts.rend() && now - prompt->at < span; ++prompt) {
+        sum += prompt->millis;
     }
     return sum;
 }
 
 auto RecentPrefill::add(double millis, TimePoint now) -> void
 {
-    constexpr auto Longest = Duration::seconds(1);
-    std::erase_if(m_prompts, [&](const PendingPrompt &read) { return now - read.at > Longest; });
+    constexpr auto MaxAge = Duration::seconds(1);
+    std::erase_if(m_prompts, [&](const SentPrompt &prompt) { return now - prompt.at > MaxAge; });
     m_prompts.push_back({now, millis});
 }
 
--- a/src/core/prefillqueue.h
+++ b/src/core/prefillqueue.h
@@ -1,7 +1,7 @@
-// Pending prefill of one target, as the process that sent it counts it: what a request sent there now would wait for. Pure.
+// Estimates the pending prefill of one target from what this gateway has sent there: how long a request sent now would wait. No I/O.
 //
-// An engine takes up waiting prompts by their urgency, but it doesn't interrupt the one in prefill: behind a prompt of forty thousand tokens a short one
-// waits for a second, however urgent it is. So what is left of the prompt in prefill counts with the most urgent band.
+// An engine starts waiting prompts by urgency, but doesn't interrupt the prompt in prefill: behind a prompt of 40000 tokens, a short prompt waits
+// for a second even if it is the most urgent. So the rest of the prompt in prefill counts towards the most urgent band.
 #pragma once
 
 #include "core/ids.h"
@@ -18,51 +18,51 @@
 /// Milliseconds of prefill, by band.
 using BandMillis = std::array<double, UrgencyBands>;
 
-/// Of the bands that go before or with `band`.
+/// Sum of `band` and all more urgent bands.
 auto pendingUpTo(const BandMillis &pending, UrgencyBand band) -> double;
 
 class PrefillQueue
 {
 public:
     // Queries
-    /// The prompt in prefill counts with the most urgent band.
+    /// Pending prefill; the prompt in prefill counts towards the most urgent band.
     auto byBand(TimePoint now) const -> BandMillis;
-    auto waiting(UrgencyBand band) const -> int; ///< sends without a first token, of the bands that go before or with `band`
+    auto waiting(UrgencyBand band) const -> int; ///< sends without a first token, in `band` and all more urgent bands
 
     // Commands
-    /// `millis`: what it takes where nothing else is prefilled. `othersIdle`: as far as known, no other process has a prompt in prefill or waiting there.
+    /// `millis`: prefill time if nothing else is prefilled. `othersIdle`: no other gateway is known to have a prompt in prefill or waiting at the target.
     auto add(SendId send, UrgencyBand band, double millis, bool othersIdle, TimePoint now) -> void;
-    /// Prefilled, or cancelled; the next one by urgency, then by age, counts as in prefill.
+    /// The prompt is prefilled or cancelled. The next one by urgency, then by age, counts as in prefill.
     auto remove(SendId send, TimePoint now) -> void;
 
 private:
-    struct Read {
+    struct PendingPrompt {
         SendId send;
         UrgencyBand band = UrgencyBand::Usual;
         double millis = 0;
-        std::optional<TimePoint> since; ///< in prefill
+        std::optional<TimePoint> since; ///< start of its prefill; nullopt: still waiting
 
         auto left(TimePoint now) const -> double;
     };
-    std::vector<Read> m_prompts; ///< oldest first
+    std::vector<PendingPrompt> m_prompts; ///< oldest first
 };
 
-/// Prefill sent to one target within the last moments, done by now or not. An engine prefills between the steps of its streams, and between two events of a
-/// stream lie several steps: a handful of prompts that come together stall every stream there, though each of them is small.
+/// Prefill sent to one target within the last second, finished or not. An engine prefills between the decode steps of its streams, and several steps lie
+/// between two events of a stream: a handful of prompts that arrive together stalls every stream of the target, even if each prompt is short.
 class RecentPrefill
 {
 public:
-    /// Milliseconds; `span` up to a second.
+    /// Milliseconds of prefill sent within the last `span`, which is at most a second.
     auto within(Duration span, TimePoint now) const -> double;
 
     auto add(double millis, TimePoint now) -> void;
 
 private:
-    struct Read {
+    struct SentPrompt {
         TimePoint at;
         double millis = 0;
     };
-    std::vector<Read> m_prompts; ///< oldest first
+    std::vector<SentPrompt> m_prompts; ///< oldest first
 };
 
 } // namespace KingCup
--- a/src/core/promptcache.cpp
+++ b/src/core/promptcache.cpp
@@ -60,7 +60,7 @@
 
 auto PromptCache::touch(const std::vector<PromptChain> &chains) -> void
 {
-    // Backwards, so that the beginning of the prompt is dropped after what rests on it.
+    // Last part first, so that the beginning of the prompt is evicted after the parts that depend on it.
     for (auto chain = chains.rbegin(); chain != chains.rend(); ++chain) {
         touchOne(*chain);
     }
--- a/src/core/promptcache.h
+++ b/src/core/promptcache.h
@@ -1,7 +1,7 @@
-// What an engine probably still has cached of prompts. A guess from own sends and other entries' digests: the
-// engine keeps parts as long as its memory lasts and drops those that were used longest ago.
+// Estimates which prompt prefixes an engine has in its KV cache, from this gateway's sends and the digests of other gateways. The engine
+// evicts the least recently used parts when its memory is full.
 //
-// A part helps only if all parts before it are kept too, so parts are known by the chain that leads to them.
+// A cached part is usable only if all parts before it are cached too, so a part is identified by a hash chained over all parts up to it.
 #pragma once
 
 #include "core/units.h"
@@ -15,7 +15,7 @@
 namespace KingCup
 {
 
-/// One part of a prompt. Requests that share a part, and all parts before it, can share what an engine has cached of it.
+/// One part of a prompt. Requests that share a part and all parts before it can share the engine's cached state of that part.
 struct PromptPart {
     std::uint64_t id = 0;
     int tokens = 0;
@@ -23,28 +23,28 @@
     auto operator==(const PromptPart &) const -> bool = default;
 };
 
-/// A part together with all before it, for one model and adapter.
+/// Identifies a part together with all parts before it, for one model and adapter.
 struct PromptChain {
     std::uint64_t hash = 0;
-    int tokens = 0; ///< of its last part
+    int tokens = 0; ///< of the last part only
 };
 
-/// The chains of a prompt, shortest first. `model` names model and adapter: what one has cached is of no use to another.
+/// The chains of a prompt, shortest first. `model` names model and adapter: the cache of one is of no use to another.
 auto promptChains(const std::string &model, const std::vector<PromptPart> &parts) -> std::vector<PromptChain>;
 
 class PromptCache
 {
 public:
-    /// `capacity`: tokens, shared with running requests.
+    /// `capacity`: in tokens; the engine shares it with running requests.
     explicit PromptCache(std::int64_t capacity = 0);
 
-    auto cachedTokens(const std::vector<PromptChain> &chains) const -> int; ///< of the prompt's beginning
+    auto cachedTokens(const std::vector<PromptChain> &chains) const -> int; ///< length of the longest cached prefix
     auto usedTokens() const -> std::int64_t;
 
     auto setCapacity(std::int64_t capacity) -> void;
-    /// The engine reads this prompt: its parts are the last used now.
+    /// The engine prefills this prompt: all its parts become the most recently used.
     auto touch(const std::vector<PromptChain> &chains) -> void;
-    /// Another entry had the engine prefill a part.
+    /// Another gateway reported that the engine has prefilled this part.
     auto touchOne(const PromptChain &chain) -> void;
     auto clear() -> void;
 
@@ -53,7 +53,7 @@
 
     std::int64_t m_capacity = 0;
     std::int64_t m_used = 0;
-    std::list<PromptChain> m_order; ///< the last used first
+    std::list<PromptChain> m_order; ///< most recently used first
     std::unordered_map<std::uint64_t, std::list<PromptChain>::iterator> m_byHash;
 };
 
--- a/src/core/requestcost.cpp
+++ b/src/core/requestcost.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/// A shorter answer tells nothing of the pace: its last bytes may have come with its first.
+/// A shorter answer says nothing about the time per byte: its last bytes may have arrived together with its first.
 constexpr auto MinStreamDuration = Duration::millis(30);
-/// Answers that were quicker than thought count much more than those that were held up.
+/// Answers that were faster than the estimate weigh much more than slower ones, which were delayed by other requests.
 constexpr double WeightIfFaster = 0.2;
 constexpr double WeightIfSlower = 0.01;
 
@@ -24,7 +24,7 @@
 {
 }
 
-/// The plain mean of the first answers, then an exponentially weighted one.
+/// The arithmetic mean of the first answers, then an exponentially weighted one.
 auto RequestCost::Mean::add(double seen, double rate) -> void
 {
     ++answers;
--- a/src/core/requestcost.h
+++ b/src/core/requestcost.h
@@ -1,12 +1,12 @@
-// What one request of a model takes of a runner: a share of its time, as answers have shown. Pure.
+// Learns from answers how much of a runner's time one request of a model takes. No I/O.
 //
-// Models differ many times over in how long their steps take, and so do their requests. With every request counted the same, a model that is quick
-// got copies as if it were slow, and the slow one beside it was late for want of them.
+// Step times differ many times over between models, and so do their requests. If every request counted the same, a fast model would get as many replicas as
+// a slow one, and the slow one would have too few and miss its goals.
 //
-// What is counted doesn't depend on how full the runners are, nor on the plan's own doings. An answer's length is what it is; the time for each byte of it
-// is taken from the quickest answers, as the others were held up by their neighbours. Counted by the time that answers took, a model on runners that are
-// too full would seem to need ever more of them. Of the prompt only the request's own part counts, as shared beginnings are read once for many; and the
-// means move slowly, so that a few very long prompts don't move copies about.
+// The cost must not depend on how busy the runners are, nor on the placement plan. The length of an answer doesn't; the time per byte is learnt from the
+// fastest answers, because the others were slowed down by requests beside them. If the cost were the time that answers take, a model on overloaded runners
+// would seem to need more and more of them. Of the prompt only the request's own part counts, because a shared prefix is prefilled once for many requests.
+// The means change slowly, so that a few very long prompts don't cause replicas to be moved.
 #pragma once
 
 #include "core/units.h"
@@ -19,18 +19,18 @@
 {
 
 struct RequestCostOptions {
-    double unknownSeconds = 0.025; ///< until anything was seen: a share of the steps of some three hundred tokens
+    double unknownSeconds = 0.025; ///< before the first answer: one request's share of the steps for some 300 tokens
     double learnRate = 0.03; ///< weight of one answer in the means
-    /// What is not known yet counts like this many answers. Short answers end first: without it everything seems cheap for some seconds after a start.
+    /// Weight of the prior (`unknownSeconds`), in answers. Short answers end first: without a prior every model seems cheap for some seconds after a start.
     double priorAnswers = 30;
 };
 
-/// One answer as it was seen.
+/// One completed answer.
 struct ObservedAnswer {
-    Duration prefill; ///< of its own part of the prompt, where nothing else is prefilled
-    Duration streaming; ///< from its first bytes to its last
+    Duration prefill; ///< of the request's own part of the prompt, if nothing else is prefilled
+    Duration streaming; ///< from the first byte to the last
     std::size_t bytes = 0;
-    int slots = 1; ///< streams that its runner has under way at once
+    int slots = 1; ///< streams that the runner serves at once
 };
 
 class RequestCost
@@ -39,9 +39,9 @@
     explicit RequestCost(RequestCostOptions options = {});
 
     // Queries
-    auto seconds(const std::string &model) const -> double; ///< of a runner, per request
-    auto prefillSeconds() const -> double; ///< of one prompt, over all models
-    auto slotSeconds() const -> double; ///< between two streams that end on a full runner, over all models, as answers took
+    auto seconds(const std::string &model) const -> double; ///< of runner time per request
+    auto prefillSeconds() const -> double; ///< mean of one prompt, over all models
+    auto slotSeconds() const -> double; ///< mean time until the next stream ends on a full runner, over all models, from the observed durations
 
     // Commands
     auto observe(const std::string &model, const ObservedAnswer &answer) -> void;
@@ -56,16 +56,16 @@
     struct Model {
         Mean prefillSeconds;
         Mean bytes;
-        double secondsPerByte = 0; ///< of one stream among few; 0: not seen yet
+        double secondsPerByte = 0; ///< of a stream on a lightly loaded runner; 0: not observed yet
         int slots = 1;
 
         auto learnSecondsPerByte(const ObservedAnswer &answer) -> void;
         auto seconds() const -> double;
     };
     RequestCostOptions m_options;
-    Mean m_all; ///< begins as if the unknown had been seen
-    Mean m_prefill; ///< likewise
-    Mean m_slot; ///< likewise
+    Mean m_all; ///< starts at the prior
+    Mean m_prefill; ///< starts at half the prior
+    Mean m_slot; ///< starts at the prior
     std::map<std::string, Model> m_models;
 };
 
--- a/src/core/retry.cpp
+++ b/src/core/retry.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Attempt after a definite not-run or a failure, if the time allows.
+/// Whether another attempt is expected to end before the deadline.
 auto isInTime(const RequestFacts &request, TimePoint now) -> bool
 {
     return now + request.expectedService < request.deadline;
@@ -16,7 +16,7 @@
 
 auto giveUp(const AttemptEnd &end, const std::string &why) -> RetryDecision
 {
-    // Once a part was passed on, "not run" would be false, whatever the last attempt said.
+    // Once a part of the answer was forwarded, "not run" would be false, even if the last attempt didn't run.
     const bool notRun = end.outcome == AttemptOutcome::NotRun && !end.answerBegan;
     return {notRun ? RetryAction::SayNotRun : RetryAction::SayUnknown, 0, why};
 }
@@ -83,8 +83,8 @@
     if (end.outcome == AttemptOutcome::Delivered) {
         return {RetryAction::Deliver, 0, "whole"};
     }
-    // A debit sent again after silence may be posted twice, and nobody notices before the patron does. So what must run once goes out
-    // again only when the last attempt was refused for certain.
+    // A non-idempotent request that is sent again after an unknown outcome may run twice without being noticed. So it is sent again
+    // only if the last attempt certainly didn't run.
     if (!request.idempotent && end.outcome != AttemptOutcome::NotRun) {
         return giveUp(end, "may have run and must run once");
     }
--- a/src/core/retry.h
+++ b/src/core/retry.h
@@ -1,8 +1,8 @@
-// What follows when an attempt has ended: another one, a resumed stream, or the final answer to the caller. And whether to hedge.
+// Decides what follows when an attempt has ended: a retry, a resumed stream, or the final answer to the caller. Also decides whether to hedge.
 //
 // Index of sections (search for [SECTION]):
-//   RetryBudget   a token bucket per service, so that retries can't multiply an overload
-//   Attempts      how one ended, what is known of the request
+//   RetryBudget   a token bucket per service, so that retries can't amplify an overload
+//   Attempts      how an attempt ended, what is known about the request
 //   Decisions     decideRetry() and shouldHedge()
 #pragma once
 
@@ -20,8 +20,8 @@
 // [SECTION] RetryBudget
 
 struct RetryBudgetOptions {
-    double earnedPerRequest = 0.1; ///< tokens that each first attempt earns: at most one retry in ten requests, lastingly
-    double maxTokens = 20; ///< tokens kept: the burst that a lost target may cause
+    double earnedPerRequest = 0.1; ///< tokens that each request adds: at most one retry per ten requests in the long run
+    double maxTokens = 20; ///< limits the burst of retries that the loss of a target may cause
 };
 
 class RetryBudget
@@ -30,8 +30,8 @@
     explicit RetryBudget(RetryBudgetOptions options = {});
 
     auto available(const ServiceName &service) const -> double;
-    auto requestSeen(const ServiceName &service) -> void;
-    auto withdraw(const ServiceName &service) -> bool; ///< false: no retry now
+    auto requestSeen(const ServiceName &service) -> void; ///< a new request: adds tokens
+    auto withdraw(const ServiceName &service) -> bool; ///< takes a token; false: there is none, don't retry now
 
 private:
     RetryBudgetOptions m_options;
@@ -41,35 +41,35 @@
 // [SECTION] Attempts
 
 enum class AttemptOutcome {
-    Delivered, ///< whole, with its end marker
-    NotRun, ///< certainly: refused, or never sent
-    Unknown, ///< may have run: the connection broke, or time ran out
+    Delivered, ///< complete, with its end marker
+    NotRun, ///< certainly not run: refused, or never sent
+    Unknown, ///< may have run: the connection broke, or it timed out
 };
 
 struct AttemptEnd {
     AttemptOutcome outcome = AttemptOutcome::Unknown;
-    std::string code; ///< the agent's, e.g. "leaving"
-    std::uint64_t deliveredTokens = 0; ///< of the stream, already passed on to the caller
-    bool answerBegan = false; ///< something was passed on to the caller
+    std::string code; ///< from the agent, e.g. "leaving"
+    std::uint64_t deliveredTokens = 0; ///< of the stream, already forwarded to the caller
+    bool answerBegan = false; ///< a part of the answer was forwarded to the caller
 };
 
 struct RequestFacts {
     ServiceName service;
     bool idempotent = true;
-    bool resumable = false; ///< a model's stream that can go on at an offset
-    int attempts = 1; ///< made so far, this one included
+    bool resumable = false; ///< a model's stream that another target can continue at an offset
+    int attempts = 1; ///< made so far, including this one
     TimePoint deadline;
-    Duration expectedService; ///< of another attempt; 0: unknown
+    Duration expectedService; ///< expected service time of another attempt; 0: unknown
 };
 
 // [SECTION] Decisions
 
 enum class RetryAction {
-    Deliver, ///< the answer is whole: done
+    Deliver, ///< the answer is complete: done
     Retry, ///< at another target
     Resume, ///< at another target, from `offset`
-    SayNotRun, ///< tell the caller that it wasn't run
-    SayUnknown, ///< tell the caller that it may have run, or that the answer is cut short
+    SayNotRun, ///< tell the caller that the request wasn't run
+    SayUnknown, ///< tell the caller that the request may have run, or that the answer is incomplete
 };
 auto toString(RetryAction action) -> const char *;
 
@@ -83,16 +83,16 @@
     int maxAttempts = 4;
 };
 
-/// Draws from the budget if the decision is to try again after a failure. A definite refusal costs no token: the target did no work.
+/// Takes a token from the budget if the decision is to try again after a failure. A retry after AttemptOutcome::NotRun takes none: the target did no work.
 auto decideRetry(const RequestFacts &request, const AttemptEnd &end, RetryBudget &budget, TimePoint now, const RetryOptions &options = {}) -> RetryDecision;
 
 struct HedgeOptions {
-    bool enabled = false; ///< off unless a measurement on the deployment supports it
-    Duration longestService = Duration::millis(100); ///< only calls this short
-    double after = 3.0; ///< times the expected service time
+    bool enabled = false; ///< enable it only if measurements of the deployment show a benefit
+    Duration longestService = Duration::millis(100); ///< only requests with an expected service time up to this are hedged
+    double after = 3.0; ///< hedge after this many times the expected service time
 };
 
-/// Whether to send a second attempt beside one that is still running. Draws from the budget if so.
+/// Whether to send a second attempt while the first one is still running. Takes a token from the budget if so.
 auto shouldHedge(const RequestFacts &request, TimePoint sentAt, RetryBudget &budget, TimePoint now, const HedgeOptions &options) -> bool;
 
 } // namespace KingCup
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -18,22 +18,22 @@
 constexpr int DefaultLimit = 16;
 constexpr auto DefaultServiceTime = Duration::millis(200);
 constexpr auto MaxEjection = Duration::seconds(30);
-constexpr double SlowdownPerRunningRequest = 0.02; ///< each running request slows the others by about this share of a decode step
-constexpr double MinWeight = 0.05; ///< while it comes back, a target still gets a little, so that its state shows
-constexpr double StaleWeight = 0.3;
-constexpr double MeanWeight = 0.1; ///< weight of one observation in a running mean
-constexpr double SlownessWeight = 0.05;
-constexpr double SlownessThreshold = 1.5; ///< a target is taken to be slow from this many times the usual service time; below it is chance
-constexpr double MinEstimateShare = 0.6; ///< a request is too late if even this share of the estimate misses the deadline
-constexpr double InteractiveHeadroom = 1.25; ///< interactive requests may exceed the limit by this factor, the agent puts them first
+constexpr double SlowdownPerRunningRequest = 0.02; ///< each running request slows down the others by about this share of a decode step
+constexpr double MinWeight = 0.05; ///< minimum for a target that isn't ejected, so that its state can be observed
+constexpr double StaleWeight = 0.3; ///< factor for a target whose report is older than RoutingOptions::staleAfter
+constexpr double MeanWeight = 0.1; ///< weight of one observation in the mean service time
+constexpr double SlownessWeight = 0.05; ///< weight of one observation in a target's slowness
+constexpr double SlownessThreshold = 1.5; ///< a target counts as slow above this multiple of the mean service time; smaller differences are chance
+constexpr double MinEstimateShare = 0.6; ///< a request is too late if even this share of the estimate would miss the deadline
+constexpr double InteractiveHeadroom = 1.25; ///< interactive requests may exceed the limit by this factor, because the agent serves them first
 constexpr auto NoTargetRetryDelay = Duration::millis(50);
 constexpr std::size_t MaxEndsKept = 256;
 
 struct Health {
-    int failures = 0; ///< in a row
-    int ejections = 0; ///< since the last success in full weight
+    int failures = 0; ///< consecutive
+    int ejections = 0; ///< since the last success after a whole slow start
     TimePoint ejectedUntil;
-    TimePoint slowStartAt; ///< when it came back
+    TimePoint slowStartAt; ///< when the target came back
     bool isSlowStarting = false;
 };
 
@@ -48,16 +48,16 @@
     bool isUp = false;
     bool isLeaving = false;
     std::optional<TargetLoad> load;
-    TimePoint reportAt; ///< when the counts were true, on our clock
+    TimePoint reportAt; ///< when `load` was received
     std::unordered_map<RequestId, Sent> sent;
-    std::vector<TimePoint> ends; ///< of those that started before the report and ended after it
+    std::vector<TimePoint> ends; ///< of requests that started before the report and ended after it
     Health health;
-    double slowness = 1; ///< mean of its service times over those of the same class anywhere
-    double promptTokens = 0; ///< sent by this process and not yet read by the engine, at `promptTokensAt`
+    double slowness = 1; ///< mean ratio of its service times to the mean of their class over all targets
+    double promptTokens = 0; ///< sent by this process and not yet prefilled by the engine, as of `promptTokensAt`
     TimePoint promptTokensAt;
 };
 
-/// Requests whose service times are alike.
+/// A class of requests with similar service times.
 struct RequestClassName {
     ServiceName service;
     Priority priority = Priority::Standard;
@@ -112,13 +112,13 @@
     return std::nullopt;
 }
 
-// The state behind the class, and the steps of a decision.
+// The state of the router and the steps of a decision.
 struct Router::Private {
     RoutingOptions options;
     std::mt19937_64 random;
     std::map<TargetId, TargetState> targets;
     std::uint64_t roundRobinTurn = 0;
-    std::map<RequestClassName, double> classServiceMicros; ///< mean service times seen by this process
+    std::map<RequestClassName, double> classServiceMicros; ///< mean service times in microseconds, observed by this process
 
     auto isEligible(const TargetState &state, const ServiceName &service, const std::vector<ArtifactName> &artifacts, TimePoint now) const -> bool;
     auto load(const TargetState &state) const -> int;
@@ -170,8 +170,9 @@
     return state.load && state.load->concurrencyLimit > 0 ? state.load->concurrencyLimit : DefaultLimit;
 }
 
-/// Long prompts of lower classes go one at a time. Sent as they come they keep the engine reading for seconds, and every interactive request that
-/// meets them there has its first token late; kept in our queue they wait in order of deadline while interactive ones pass.
+/// Limits the pending prefill of lower classes, so that their long prompts go to a target one at a time. Sent as they arrive, they would keep the engine
+/// prefilling for seconds and delay the first token of every interactive request there. In the admission queue they wait in order of deadline, while
+/// interactive requests pass them.
 auto Router::Private::exceedsPrefillBacklog(const TargetState &state, Priority priority, TimePoint now) const -> bool
 {
     if (!options.countsPrompts || priority == Priority::Interactive) {
@@ -204,7 +205,7 @@
         const auto since = (now - state.health.slowStartAt).inSeconds();
         result = std::clamp(since / std::max(options.slowStart.inSeconds(), 1e-6), MinWeight, 1.0);
     }
-    // Failures short of an ejection shed load gradually: one broken stream halves the share, the next quarters it.
+    // Failures before an ejection reduce the load gradually: one broken stream halves the share, the next one quarters it.
     result *= std::pow(0.5, state.health.failures);
     if (now - state.reportAt > options.staleAfter) {
         result *= StaleWeight;
@@ -214,8 +215,8 @@
 
 auto Router::Private::serviceTime(const TargetState &state, Priority priority) const -> Duration
 {
-    // Means are kept over all targets: the few requests that one target served last differ more by their length than by the target. A target
-    // that is slow itself shows in the ratio.
+    // The means are over all targets: the last few requests of a single target differ more by their length than by the target. A slow target
+    // is recognised by its slowness.
     const auto seen = classServiceMicros.find({state.service, priority});
     const double slowness = state.slowness > SlownessThreshold ? state.slowness : 1.0;
     if (seen != classServiceMicros.end()) {
@@ -239,8 +240,8 @@
     const int ahead = std::max(0, inSystem + 1 - most);
     const auto waiting = others * (static_cast<double>(ahead) / most);
     const auto zonePenalty = state.zone == options.zone ? Duration() : options.otherZonePenalty;
-    // An engine reads prompts one after the other. A short request behind a review of 4,000 tokens gets its first token a second later,
-    // though the target runs few requests: load alone doesn't show it.
+    // An engine prefills prompts one after another. A short request behind a prompt of 4000 tokens gets its first token a second later even if
+    // the target runs few requests, so the number of requests alone isn't enough.
     const auto prefillTime = options.countsPrompts ? Duration::seconds(prefillTokens(state, now) / options.promptTokensPerSecond) : Duration();
     return running + waiting + zonePenalty + prefillTime;
 }
@@ -263,7 +264,7 @@
         ++notExcluded;
         Candidate candidate {.id = id, .state = &state, .weight = weight(state, now), .load = load(state), .expected = expected(state, request.priority, now)};
         soonest = std::min(soonest, candidate.expected);
-        // The baselines know no limits: they send on whatever they have, as the common proxies do.
+        // The baselines ignore limits and forward every request, as common proxies do.
         if (options.strategy == RoutingStrategy::Objective && capacity(state, request.priority, now) <= 0) {
             continue;
         }
@@ -470,8 +471,8 @@
 {
     const bool isNew = !d->targets.contains(target);
     auto &state = d->targets[target];
-    // A target that comes back has empty caches and may fall over again. Given its full share at once it would slow down everything
-    // that is sent to it, so its share grows over the slow start.
+    // A target that comes back has empty caches and may fail again. With its full share at once it would delay every request that is
+    // sent to it, so its share grows over the slow start.
     if (!isNew && !state.isUp) {
         state.health.isSlowStarting = true;
         state.health.slowStartAt = now;
--- a/src/core/routing.h
+++ b/src/core/routing.h
@@ -1,13 +1,13 @@
-// Routing: which target a request is sent to. Pure: reports and ends of requests go in with a time, a choice comes out.
+// Routing: chooses the target that a request is sent to. No I/O: load reports and ends of requests are passed in with a time, a choice is returned.
 //
-// A target is eligible if it is up, not leaving, has every artifact of the request resident and isn't excluded. Among those the
-// router estimates when each would finish the request, from its last load report plus what this process has sent since, and
-// takes the better of two drawn at random. Requests with a common prompt prefix go to the same target while its load is bounded.
+// A target is eligible if it is up, not leaving, not ejected, and has every artifact of the request resident. For each eligible target that isn't
+// excluded, the router estimates when it would finish the request, from its last load report and what this process has sent since, and takes the
+// better of two drawn at random. Requests with a common prompt prefix go to the same target while its load is bounded.
 //
 // Index of sections (search for [SECTION]):
 //   Input      load reports and requests
 //   Output     a choice or a refusal, both with a reason text
-//   Options    strategy and constants
+//   Options    strategy and constants of the estimate
 //   Router     the state and the decision
 #pragma once
 
@@ -26,51 +26,50 @@
 
 // [SECTION] Input
 
-/// What a target said about itself, as last received. The counts are the agent's own and as fresh as the message; `age` is that of
-/// the engine's figures.
+/// A target's load report. The counts are the agent's own and as recent as the message; `age` applies to the values from the engine.
 struct TargetLoad {
-    std::uint64_t sequence = 0; ///< a lower one than the last seen is ignored
-    Duration age; ///< how old the engine's figures (decode step) were when sent
-    int running = 0; ///< requests at the engine
+    std::uint64_t sequence = 0; ///< a report with a lower one than the last is ignored
+    Duration age; ///< of the engine's values (decode step) when the report was sent
+    int running = 0; ///< requests running at the engine
     int queued = 0; ///< requests waiting at the agent
     int concurrencyLimit = 0; ///< 0: unknown
-    Duration serviceTime; ///< recent mean of a request; 0: unknown
-    Duration decodeStep; ///< between tokens; 0: unknown
+    Duration serviceTime; ///< recent mean over requests; 0: unknown
+    Duration decodeStep; ///< time between tokens; 0: unknown
     bool leaving = false;
     bool engineReady = true;
     std::uint64_t engineGeneration = 0;
-    std::vector<ArtifactName> residents; ///< confirmed ones only
-    std::vector<std::string> cachedPrefixes; ///< fingerprints of prompt prefixes in its cache, as far as known
+    std::vector<ArtifactName> residents; ///< only those whose residency is confirmed
+    std::vector<std::string> cachedPrefixes; ///< fingerprints of prompt prefixes that are known to be in its cache
 };
 
-/// A request to be sent, or sent again.
+/// A request to be sent or retried.
 struct RoutingRequest {
     RequestId id;
-    ServiceName service; ///< for plain services, which need no artifact: the targets that serve it
-    std::vector<ArtifactName> artifacts; ///< all must be resident
-    std::string prefixHash; ///< requests with the same one share a prompt prefix; empty: none
-    int promptTokens = 0; ///< about: an engine reads them before the first token, and whatever comes after waits for it
-    std::string stickyKey; ///< run-once key: the same one goes to the target that its hash ranks first; empty: none
+    ServiceName service; ///< plain services, which have no artifacts: only the targets of this service are eligible
+    std::vector<ArtifactName> artifacts; ///< all must be resident at the target
+    std::string prefixHash; ///< requests with the same hash share a prompt prefix; empty: none
+    int promptTokens = 0; ///< approximate; an engine prefills them before the first token, and later requests wait for that
+    std::string stickyKey; ///< run-once key: requests with the same key go to the target that its hash ranks first; empty: none
     TimePoint deadline;
     Priority priority = Priority::Standard;
     std::vector<TargetId> excluded; ///< already tried
-    bool prefersIdle = false; ///< a suspect: prefers an idle target
+    bool prefersIdle = false; ///< suspected of crashing targets: goes to the least loaded target
 };
 
 // [SECTION] Output
 
 enum class RoutingRefusal {
-    NoCopy, ///< no live target has the artifacts
-    AllExcluded, ///< every target that has them was tried
-    TooLate, ///< none is expected to finish by the deadline
-    Overloaded, ///< all are at their limit now: wait in the queue
+    NoCopy, ///< no eligible target has the artifacts
+    AllExcluded, ///< every target that has them is excluded
+    TooLate, ///< no target is expected to finish by the deadline
+    Overloaded, ///< all targets are at their limit now: wait in the queue
 };
 auto toString(RoutingRefusal refusal) -> const char *;
 
 struct RoutingChoice {
     TargetId target; ///< empty if refused
     RoutingRefusal refusal = RoutingRefusal::NoCopy; ///< only if refused
-    Duration expected; ///< until the answer's end; if refused, until it is worth trying again
+    Duration expected; ///< until the end of the answer; if refused, until a retry makes sense
     std::string reason; ///< for the log and `explain`
 
     auto isRefused() const -> bool
@@ -79,20 +78,20 @@
     }
 };
 
-/// How an attempt ended, for a target's health.
+/// How an attempt ended, for the health of its target.
 enum class AttemptResult {
     Delivered,
-    Refused, ///< not run: leaving, not resident, overloaded. Says nothing about health
-    Failed, ///< broken, timed out or an error of the target
-    Cancelled, ///< by the caller or a hedge: says nothing about health
+    Refused, ///< not run: leaving, not resident, overloaded. Doesn't affect the target's health
+    Failed, ///< the connection broke, the attempt timed out, or the target returned an error
+    Cancelled, ///< by the caller or a hedge. Doesn't affect the target's health
 };
 
 // [SECTION] Options
 
 enum class RoutingStrategy {
-    Objective, ///< the one described above
+    Objective, ///< as described at the head of this file
     RoundRobin, ///< baseline: each eligible target in turn
-    LeastLoaded, ///< baseline: the fewest requests reported and sent since
+    LeastLoaded, ///< baseline: the target with the fewest requests, reported or sent since
 };
 auto toString(RoutingStrategy strategy) -> const char *;
 auto routingStrategyFromString(const std::string &text) -> std::optional<RoutingStrategy>;
@@ -101,21 +100,21 @@
     RoutingStrategy strategy = RoutingStrategy::Objective;
     ZoneName zone; ///< this process's own
     std::uint64_t seed = 1; ///< of the random draws
-    Duration otherZonePenalty = Duration::millis(2); ///< added to the estimate of targets in other zones: there and back
-    Duration staleAfter = Duration::seconds(2); ///< a report older than this makes a target less likely
-    Duration deadAfter = Duration::seconds(6); ///< and than this, ineligible
-    Duration slowStart = Duration::seconds(10); ///< from its return until a target gets its full share
-    Duration firstEjection = Duration::seconds(2); ///< first pause after repeated failures; doubles up to 30 s
-    int failuresToEject = 3; ///< in a row
-    double batchShare = 0.7; ///< of a target's limit that batch requests may fill
-    double affinityMaxLoadRatio = 1.25; ///< a preferred target may have this many times the mean load
-    Duration affinityMaxDelay = Duration::millis(50); ///< a preferred target may be expected to take this much longer than the best
-    double promptTokensPerSecond = 4500; ///< that an engine reads beside decoding
-    double standardBacklog = 1000; ///< unread prompt tokens beyond which a target gets no further standard request
-    double batchBacklog = 100; ///< and no batch request
-    bool countsPrompts = true; ///< switches for ablation runs, this and the next two
-    bool prefixAffinity = true;
-    bool twoChoices = true;
+    Duration otherZonePenalty = Duration::millis(2); ///< added to the estimate of targets in other zones: the round trip
+    Duration staleAfter = Duration::seconds(2); ///< a target whose report is older than this gets a smaller share
+    Duration deadAfter = Duration::seconds(6); ///< a target whose report is older than this is not eligible
+    Duration slowStart = Duration::seconds(10); ///< time from a target's return until it gets its full share
+    Duration firstEjection = Duration::seconds(2); ///< after repeated failures; doubles with each further ejection, up to 30 s
+    int failuresToEject = 3; ///< consecutive failures
+    double batchShare = 0.7; ///< share of a target's limit that batch requests may fill
+    double affinityMaxLoadRatio = 1.25; ///< limit of the preferred target's load, as a multiple of the mean load
+    Duration affinityMaxDelay = Duration::millis(50); ///< by which the preferred target's estimate may exceed the best one
+    double promptTokensPerSecond = 4500; ///< prefill rate of an engine while it also decodes
+    double standardBacklog = 1000; ///< pending prompt tokens above which a target gets no further standard request
+    double batchBacklog = 100; ///< pending prompt tokens above which a target gets no further batch request
+    bool countsPrompts = true; ///< counts pending prompt tokens; false for ablation runs
+    bool prefixAffinity = true; ///< false for ablation runs
+    bool twoChoices = true; ///< false for ablation runs: a single random choice
 };
 
 // [SECTION] Router
@@ -129,20 +128,20 @@
     auto operator=(Router &&) noexcept -> Router &;
 
     // Queries
-    auto targets() const -> std::vector<TargetId>; ///< all that are known
-    auto holders(const std::vector<ArtifactName> &artifacts, TimePoint now) const -> std::vector<TargetId>; ///< eligible ones
-    auto instances(const ServiceName &service, TimePoint now) const -> std::vector<TargetId>; ///< eligible ones of a plain service
-    auto inFlight(const TargetId &target) const -> int; ///< sent by this process and not ended
+    auto targets() const -> std::vector<TargetId>; ///< all known targets
+    auto holders(const std::vector<ArtifactName> &artifacts, TimePoint now) const -> std::vector<TargetId>; ///< eligible, with all artifacts resident
+    auto instances(const ServiceName &service, TimePoint now) const -> std::vector<TargetId>; ///< eligible targets of a plain service
+    auto inFlight(const TargetId &target) const -> int; ///< requests sent by this process that haven't ended
     auto lastReport(const TargetId &target) const -> std::optional<TargetLoad>;
-    auto weight(const TargetId &target, TimePoint now) const -> double; ///< 0 (gets nothing) to 1 (its full share)
-    auto hasCapacity(const TargetId &target, Priority priority, TimePoint now) const -> bool; ///< below its limit
+    auto weight(const TargetId &target, TimePoint now) const -> double; ///< 0 (gets no requests) to 1 (its full share)
+    auto hasCapacity(const TargetId &target, Priority priority, TimePoint now) const -> bool; ///< can take one more request of that priority
 
-    /// Chooses a target; the caller reports requestStarted() when it has sent the request. Not const: draws random numbers.
+    /// Chooses a target. Call requestStarted() when the request has been sent. Not const, because it draws random numbers.
     auto choose(const RoutingRequest &request, TimePoint now) -> RoutingChoice;
 
-    // Commands: what happened
+    // Commands: events
     auto targetUp(const TargetId &target, const ZoneName &zone, const ServiceName &service, TimePoint now) -> void; ///< connected
-    auto targetDown(const TargetId &target, TimePoint now) -> void; ///< connection lost or declared dead; its requests still end one by one
+    auto targetDown(const TargetId &target, TimePoint now) -> void; ///< connection lost or declared dead; call requestEnded() for each of its requests
     auto targetLeaving(const TargetId &target) -> void;
     auto targetRemoved(const TargetId &target) -> void;
     auto reportReceived(const TargetId &target, const TargetLoad &load, TimePoint now) -> void;
--- a/src/core/targethealth.cpp
+++ b/src/core/targethealth.cpp
@@ -10,9 +10,9 @@
 {
 
 constexpr double MaxSlowness = 10;
-constexpr double SlownessHalfLife = 3; // seconds; a runner that crashed or was disturbed is well again after a few
-constexpr double SlownessRate = 0.15; // weight of one observation: some ten requests tell a slow target from an unlucky one
-constexpr double FailureRate = 0.3; // likewise; three failures in a row bring a sound target over the bound
+constexpr double SlownessHalfLife = 3; // seconds; a runner that crashed or was slowed down recovers within a few
+constexpr double SlownessRate = 0.15; // weight of one observation: some ten requests distinguish a slow target from chance
+constexpr double FailureRate = 0.3; // weight of one observation: three failures in a row bring a healthy target over DispatchOptions::failureThreshold
 
 } // namespace
 
@@ -74,7 +74,7 @@
 auto TargetHealth::eject(TimePoint now) -> void
 {
     if (now < m_ejectedUntil) {
-        return; // sent before it was known
+        return; // that request was sent before the ejection
     }
     m_ejectedUntil = now + std::min(m_options.firstEjection * std::exp2(m_ejections), m_options.longestEjection);
     ++m_ejections;
--- a/src/core/targethealth.h
+++ b/src/core/targethealth.h
@@ -1,6 +1,7 @@
-// What one entry has experienced with a target: failures of late, ejection, and how much slower than others it is. Pure.
+// Health of one target as observed by this gateway: recent failures, ejection, and how slow it is compared to the expectation. No I/O.
 //
-// A request that gets no answer at all is a strike: the target is ejected for a while, longer with each strike, and then gets one request as a trial.
+// A request without any answer ejects the target for a while, longer each time in a row. When the ejection is over, the target gets one
+// request as a probe.
 #pragma once
 
 #include "core/ids.h"
@@ -11,8 +12,8 @@
 
 struct TargetHealthOptions {
     Duration failureHalfLife = Duration::seconds(2);
-    Duration firstEjection = Duration::millis(1000); ///< after the first strike
-    Duration longestEjection = Duration::millis(4000); ///< doubled up to this with each further strike; a crashed target is back within some seconds
+    Duration firstEjection = Duration::millis(1000); ///< the first time in a row
+    Duration longestEjection = Duration::millis(4000); ///< ejections double up to this; a crashed target is back within a few seconds
 };
 
 class TargetHealth
@@ -21,12 +22,12 @@
     explicit TargetHealth(TargetHealthOptions options = {}, TimePoint now = {});
 
     // Queries
-    auto failures(TimePoint now) const -> double; ///< 0 (none) to 1 (all of late)
-    auto slowness(TimePoint now) const -> double; ///< observed over expected time; 1 again some seconds after the last observation
-    auto isEjected(TimePoint now) const -> bool; ///< until its time is over; see trial()
-    auto wasEjected(TimePoint now, Duration ago) const -> bool; ///< now, or until so long ago, without a success since
-    auto needsProbe() const -> bool; ///< no success since the last strike
-    auto probe() const -> SendId; ///< 0: none
+    auto failures(TimePoint now) const -> double; ///< recent share, 0 (none) to 1 (all)
+    auto slowness(TimePoint now) const -> double; ///< ratio of observed to expected time, at least 1; decays to 1 within some seconds
+    auto isEjected(TimePoint now) const -> bool; ///< the ejection's time isn't over; see also probe()
+    auto wasEjected(TimePoint now, Duration ago) const -> bool; ///< ejected now or within the last `ago`, without a success since
+    auto needsProbe() const -> bool; ///< no success since the last ejection
+    auto probe() const -> SendId; ///< the last request sent as a probe; 0: none
     auto succeededAt() const -> TimePoint;
 
     // Commands
@@ -42,7 +43,7 @@
     TimePoint m_slownessAt;
     double m_failures = 0;
     TimePoint m_failuresAt;
-    int m_ejections = 0; ///< in a row
+    int m_ejections = 0; ///< in a row, without a success between them
     TimePoint m_ejectedUntil;
     SendId m_probe;
     TimePoint m_succeededAt;
--- a/src/core/targetview.cpp
+++ b/src/core/targetview.cpp
@@ -55,7 +55,7 @@
     if (found == m_targets.end()) {
         return {};
     }
-    // One that had said that it leaves is gone for certain.
+    // A target that had announced that it is leaving has certainly left.
     if (!isSettled(now) && !found->second.isLeaving) {
         m_missing.insert(target);
         return {};
--- a/src/core/targetview.h
+++ b/src/core/targetview.h
@@ -1,8 +1,9 @@
-// Which targets are there, by their rows in the store. Pure.
+// The set of known targets, from their rows in the store. No I/O.
 //
-// A row that goes says that its target has left, and nothing new is sent there. But the store drops rows by their silence, and while it was
-// away itself, healthy targets could not be seen: their rows go, and come back within two seconds of its return. Believed at
-// once, such a gap would leave callers without any target. So a row that goes during trouble, or soon after, is kept that long.
+// The removal of a row means that its target has left, and it gets no new requests. But the store also removes rows whose targets
+// don't renew them, which healthy targets can't while the store is unavailable: their rows are removed, and return within two seconds
+// of the store's recovery. If these removals took effect at once, callers would have no target. So the removal of a row while the
+// store is unreachable, or within `settleTime` afterwards, is deferred.
 #pragma once
 
 #include "core/targetinfo.h"
@@ -16,8 +17,8 @@
 {
 
 struct TargetViewOptions {
-    Duration settleTime = Duration::millis(2300); ///< after trouble: targets are back within two seconds, and their rows have to arrive
-    double maxLossShare = 0.5; ///< of the targets may go at one moment and be believed: one zone of three or more holds less
+    Duration settleTime = Duration::millis(2300); ///< after the store was unreachable: rows return within two seconds, and have to arrive here
+    double maxLossShare = 0.5; ///< a larger share of rows removed at once is doubted; one zone of three or more has fewer targets
 };
 
 struct TargetChanges {
@@ -30,29 +31,30 @@
 public:
     explicit TargetView(TargetViewOptions options = {});
 
-    auto isSettled(TimePoint now) const -> bool; ///< rows that go are believed at once
+    auto isSettled(TimePoint now) const -> bool; ///< removed rows take effect at once
     auto find(const TargetId &target) const -> const TargetDescription *;
     auto targets() const -> const std::map<TargetId, TargetDescription> &;
 
-    /// The store wasn't reached.
+    /// The store could not be reached.
     auto storeUnreachable(TimePoint now) -> void;
+    /// A new or changed row.
     auto rowReceived(const TargetDescription &description, TimePoint now) -> TargetChanges;
-    /// So many known targets' rows go at one moment. Most targets don't: a store that was away drops the rows of all that it couldn't hear, and
-    /// they are back within two seconds. Without this, every caller is refused that long wherever its absence wasn't noticed before. True if
-    /// that is taken for trouble.
+    /// The rows of `count` known targets are about to be removed at once. If that is more than `maxLossShare`, the store is taken to have been unreachable,
+    /// and true is returned: most targets don't leave at the same time, but a store that was unavailable removes all rows that weren't renewed, and they
+    /// return within two seconds. Without this check, a gateway that didn't notice the outage would refuse every caller for that time.
     auto detectMassRemoval(std::size_t count, TimePoint now) -> bool;
-    /// The row is gone, or names no target any more.
+    /// The row was removed, or no longer describes a target.
     auto rowRemoved(const TargetId &target, TimePoint now) -> TargetChanges;
-    /// Another gateway knows that it leaves. Another start under the same id is another target.
+    /// Another gateway reported that the target is leaving. Ignored for another incarnation under the same id.
     auto reportedLeaving(const TargetIncarnation &target, TimePoint now) -> TargetChanges;
-    /// It isn't at its address any more, whatever its row says.
+    /// Another process answers at the target's address, whatever its row says.
     auto misdirected(const TargetId &target) -> TargetChanges;
-    auto advance(TimePoint now) -> TargetChanges; ///< call a few times a second
+    auto advance(TimePoint now) -> TargetChanges; ///< applies deferred removals; call a few times per second
 
 private:
     TargetViewOptions m_options;
     std::map<TargetId, TargetDescription> m_targets;
-    std::set<TargetId> m_missing; ///< rows that went during trouble
+    std::set<TargetId> m_missing; ///< their rows were removed while the store wasn't settled
     TimePoint m_unreachableAt;
     bool m_wasUnreachable = false;
 };
--- a/tests/unit_admission.cpp
+++ b/tests/unit_admission.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("classes come in order, and within one the earliest deadline")
+TEST_CASE("priority classes are served in order, and within a class the earliest deadline first")
 {
     AdmissionQueue queue;
     REQUIRE_FALSE(queue.offer(waiting("batch", Advisory, Priority::Batch, 1), at(0)).isRefused());
@@ -50,7 +50,7 @@
     REQUIRE(queue.size() == 0);
 }
 
-TEST_CASE("a lane without room doesn't hold up the others")
+TEST_CASE("a lane without capacity doesn't block the others")
 {
     AdmissionQueue queue;
     queue.offer(waiting("first", Advisory, Priority::Interactive, 1), at(0));
@@ -63,8 +63,8 @@
 
 TEST_CASE("one service's burst does not starve another")
 {
-    // A service sends two hundred requests at once, another one every now and then. In one common queue the second would wait behind all of
-    // the first's, and its callers would see timeouts for a load that isn't theirs.
+    // One service sends 200 requests at once, another one a few. In a common queue the second would wait behind all of the first, and its
+    // callers would see timeouts caused by the other service.
     AdmissionQueue queue;
     for (int i = 0; i < 200; ++i) {
         queue.offer(waiting("burst" + std::to_string(i), Advisory, Priority::Standard, 30), at(0));
@@ -79,7 +79,7 @@
     REQUIRE(steady >= 19);
 }
 
-TEST_CASE("shares divide the work")
+TEST_CASE("services get capacity in proportion to their shares")
 {
     AdmissionQueue queue;
     queue.setShare(Advisory, 3);
@@ -95,7 +95,7 @@
     REQUIRE(advisory <= 62);
 }
 
-TEST_CASE("what would be too late behind the queue is refused at once")
+TEST_CASE("a request that would miss its deadline behind the queue is refused at once")
 {
     AdmissionQueue queue;
     for (int i = 0; i < 100; ++i) {
@@ -111,7 +111,7 @@
     REQUIRE_FALSE(queue.offer(waiting("urgent", Advisory, Priority::Interactive, 3), at(1)).isRefused());
 }
 
-TEST_CASE("the queue is bounded, in all and for one service")
+TEST_CASE("the queue is bounded in total and per service")
 {
     AdmissionQueue queue({.maxWaiting = 100, .maxServiceShare = 0.6});
     int taken = 0;
@@ -123,7 +123,7 @@
     REQUIRE_FALSE(queue.offer(waiting("other", Review, Priority::Standard, 30), at(0)).isRefused());
 }
 
-TEST_CASE("what can't be in time any more is taken out")
+TEST_CASE("requests that can't meet their deadline any more are removed")
 {
     AdmissionQueue queue;
     queue.offer(waiting("soon", Advisory, Priority::Standard, 1), at(0));
@@ -132,7 +132,7 @@
     REQUIRE(queue.size() == 1);
 }
 
-TEST_CASE("nothing is lost or given twice, whatever comes in whatever order")
+TEST_CASE("no request is lost or returned twice under random operations")
 {
     const auto seed = GENERATE(range(1U, 21U));
     std::mt19937 random(seed);
@@ -167,9 +167,9 @@
     }
 }
 
-TEST_CASE("what must run once is sent again only after a definite not-run")
+TEST_CASE("a non-idempotent request is retried only if it certainly was not run")
 {
-    // The connection breaks after a debit was sent. Sent again it might be posted twice; said to be not run, the clerk would post it again.
+    // The connection breaks after a debit was sent. A retry could post it twice; if it were reported as not run, the caller would repeat it.
     RetryBudget budget;
     RequestFacts debit {.service = Advisory, .idempotent = false, .deadline = at(10)};
     REQUIRE(decideRetry(debit, {.outcome = AttemptOutcome::Unknown}, budget, at(0)).action == RetryAction::SayUnknown);
@@ -178,7 +178,7 @@
     REQUIRE(decideRetry(debit, {.outcome = AttemptOutcome::NotRun}, budget, at(0)).action == RetryAction::SayNotRun);
 }
 
-TEST_CASE("a broken stream is resumed where it stopped, or told to be cut short")
+TEST_CASE("a broken stream is resumed where it stopped, or reported as incomplete")
 {
     RetryBudget budget;
     RequestFacts request {.service = Advisory, .resumable = true, .deadline = at(10)};
@@ -193,7 +193,7 @@
     REQUIRE(decideRetry(request, refused, budget, at(0)).action == RetryAction::SayUnknown);
 }
 
-TEST_CASE("retries are bounded by time and by the service's budget")
+TEST_CASE("retries are limited by the deadline and by the service's retry budget")
 {
     RetryBudget budget({.earnedPerRequest = 0.1, .maxTokens = 5});
     const RequestFacts request {.service = Advisory, .deadline = at(10), .expectedService = Duration::seconds(1)};
@@ -208,7 +208,7 @@
     REQUIRE(retries <= 106);
 }
 
-TEST_CASE("only a short idempotent call that is overdue is hedged, and only if asked for")
+TEST_CASE("only an overdue short idempotent request is hedged, and only if hedging is enabled")
 {
     RetryBudget budget;
     const RequestFacts lookup {.service = Advisory, .deadline = at(10), .expectedService = Duration::millis(20)};
--- a/tests/unit_cellload.cpp
+++ b/tests/unit_cellload.cpp
@@ -1,4 +1,4 @@
-// One view of the load in a cell of many gateways: sums of reports, the choice of their keeper, lost and late messages. In virtual time.
+// The load of a cell with many gateways: sums of reports, the choice of the keeper, lost and late messages. In virtual time.
 #include "core/cellkeeper.h"
 #include "core/cellload.h"
 #include "gateway/digests.h"
@@ -99,7 +99,7 @@
     CHECK(cell.reported.at(EntryId("b")) == 7);
 }
 
-TEST_CASE("late and doubled reports change nothing")
+TEST_CASE("late and duplicate reports are ignored")
 {
     CellLoadSum sum(EntryId("k"));
     sum.merge(report("a", 3, {work("r1", 3)}, 10), at(0));
@@ -112,7 +112,7 @@
     CHECK(cell.prefill[0].prefill == Duration::millis(10));
 }
 
-TEST_CASE("a silent gateway's load leaves the sum")
+TEST_CASE("a gateway that stops reporting is dropped from the sum")
 {
     CellLoadSum sum(EntryId("k"), Duration::seconds(2));
     sum.merge(report("a", 1, {work("r1", 5)}), at(0));
@@ -121,7 +121,7 @@
     CHECK(sum.take(at(2.1)).targets.empty());
 }
 
-TEST_CASE("sent prefill and prompt parts are in one sum only")
+TEST_CASE("sent prefill and prefilled prompt parts are in one sum only")
 {
     CellLoadSum sum(EntryId("k"));
     auto load = report("a", 1, {work("r1", 1)}, 25);
@@ -136,14 +136,14 @@
     CHECK(second.targets.size() == 1);
 }
 
-TEST_CASE("a gateway doesn't count its own load twice")
+TEST_CASE("a gateway's own load is subtracted from the sum")
 {
     CellLoadSum sum(EntryId("k"));
     OwnReports own(EntryId("a"));
     for (std::uint64_t sequence = 1; sequence <= 3; ++sequence) {
         const auto mine = report("a", sequence, {work("r1", static_cast<int>(sequence), 10)}, 5);
         own.sent(mine);
-        if (sequence < 3) { // the last one is still on its way
+        if (sequence < 3) { // the last report hasn't arrived yet
             sum.merge(mine, at(0));
         }
     }
@@ -155,7 +155,7 @@
     CHECK(others.prefill[0].prefill == Duration::millis(7));
     CHECK(others.work.entry == EntryId("k"));
 
-    // The same report is included again: its prefill was already taken off.
+    // The same report is included again: its prefill was already subtracted.
     sum.merge(report("b", 2, {work("r1", 10)}, 7), at(0.2));
     const auto next = own.withoutOwn(sum.take(at(0.2)));
     CHECK(find(next.work.work, "r1").running == 10);
@@ -163,7 +163,7 @@
     CHECK(next.prefill[0].prefill == Duration::millis(7));
 }
 
-TEST_CASE("a gateway's own failures and ejections don't come back as another's")
+TEST_CASE("a gateway's own failures and ejections aren't counted as another's")
 {
     CellLoadSum sum(EntryId("k"));
     OwnReports own(EntryId("a"));
@@ -186,7 +186,7 @@
     CHECK(find(own.withoutOwn(sum.take(at(0.2))).work.work, "r1").isEjected);
 }
 
-TEST_CASE("a sum without this gateway's report is taken whole")
+TEST_CASE("nothing is subtracted from a sum without this gateway's report")
 {
     CellLoadSum sum(EntryId("k"));
     OwnReports own(EntryId("a"));
@@ -197,7 +197,7 @@
     CHECK(others.prefill[0].prefill == Duration::millis(3));
 }
 
-TEST_CASE("a sum arrives as it was sent")
+TEST_CASE("a sum is unchanged by encoding and decoding")
 {
     CellLoadSum sum(EntryId("k#5"));
     auto busy = work("r1", 7, 40);
@@ -239,7 +239,7 @@
     CHECK((*chosen.begin() == "a1" || *chosen.begin() == "b1"));
 }
 
-TEST_CASE("a keeper that is silent is replaced, and chosen again later")
+TEST_CASE("a keeper that sends no sums is replaced, and chosen again later")
 {
     CellKeeper keeper("c1");
     keeper.setMembers(SixMembers);
@@ -260,7 +260,7 @@
     CHECK(keeper.keeper() == first);
 }
 
-TEST_CASE("a gateway that knows no live peer keeps the view itself")
+TEST_CASE("a gateway without reachable peers is its own keeper")
 {
     CellKeeper keeper("c2");
     keeper.setMembers(SixMembers);
@@ -268,7 +268,7 @@
     CHECK(keeper.keeper() == "c2");
 }
 
-TEST_CASE("a sum crosses each zone's border once")
+TEST_CASE("a sum is sent to each other zone once")
 {
     CellKeeper keeper("a1");
     keeper.setMembers(SixMembers);
--- a/tests/unit_dispatch.cpp
+++ b/tests/unit_dispatch.cpp
@@ -1,4 +1,4 @@
-// Who gets a request, where entries reach targets directly: load, kept prompts, other entries' work, failing targets. In virtual time.
+// The choice of a target where gateways reach targets directly: load, cached prompts, other gateways' load, failing targets. In virtual time.
 #include "core/crashrepeats.h"
 #include "core/dispatch.h"
 #include "core/reuselimit.h"
@@ -88,7 +88,7 @@
 
 } // namespace
 
-TEST_CASE("requests spread by what is yet to be read at each runner")
+TEST_CASE("requests are spread by the pending prefill of each runner")
 {
     DispatchFixture fixture(4);
     std::map<TargetId, int> sent;
@@ -106,10 +106,10 @@
     }
 }
 
-TEST_CASE("a shared beginning goes where it was read, until another runner would be sooner all the same")
+TEST_CASE("requests with a shared prefix go where it is cached, unless another runner would still be sooner")
 {
-    // Load pattern: many callers with one long beginning of their prompts. Kept on one runner it is read once; but a burst of them must not
-    // wait there in a row while others are idle.
+    // Load pattern: the prompts of many callers share a long prefix. On one runner it is prefilled once, but a burst of such requests must not
+    // queue there while other runners are idle.
     DispatchFixture fixture(4);
     const auto first = request(7);
     const auto home = fixture->choose(first, at(1)).target;
@@ -129,11 +129,11 @@
     REQUIRE(sent.size() > 1);
 }
 
-TEST_CASE("behind a long prompt that is being read an urgent short one would wait, and goes elsewhere")
+TEST_CASE("an urgent short prompt isn't sent to a runner that prefills a long one")
 {
-    // Load pattern: one prompt in thirty is ten times as long as the others, and takes a runner a second to read. An engine doesn't lay aside
-    // the prompt that it is reading for a more urgent one. Short urgent prompts that were sent to that runner got their first token late, by
-    // up to two seconds, while the other copies of the model had nothing to do.
+    // Load pattern: one prompt in thirty is ten times as long as the others, and its prefill takes a second. An engine doesn't interrupt the prompt
+    // in prefill for a more urgent one: short urgent prompts sent to that runner got their first token up to two seconds late, while other replicas of
+    // the model were idle.
     DispatchFixture fixture(2);
     const auto big = longRequest(30000, UrgencyBand::Usual);
     const auto busy = fixture->choose(big, at(1)).target;
@@ -142,20 +142,20 @@
     const auto urgent = longRequest(300, UrgencyBand::Urgent);
     REQUIRE(fixture->choose(urgent, at(1.1)).target != busy);
 
-    SECTION("what has been read of it no longer counts")
+    SECTION("the part that has been prefilled no longer counts")
     {
         const auto idle = fixture->choose(urgent, at(1.1)).target;
         fixture->sent(longRequest(10000, UrgencyBand::Urgent), idle, at(1.1));
         REQUIRE(fixture->choose(urgent, at(1.2)).target == idle);
         REQUIRE(fixture->choose(urgent, at(1.2)).backlog < Duration::millis(250));
     }
-    SECTION("another entry hears of it as of the most urgent work")
+    SECTION("other gateways see it as the most urgent prefill")
     {
         DispatchFixture other(2);
         other->merge(fixture->takeDigest(EntryId("e1"), at(1.01)), at(1.01));
         REQUIRE(other->choose(urgent, at(1.1)).target != busy);
     }
-    SECTION("one that still waits there goes behind the urgent ones")
+    SECTION("a long prompt that is still waiting goes behind urgent ones")
     {
         const auto waiting = longRequest(30000, UrgencyBand::Usual);
         fixture->sent(waiting, busy, at(1));
@@ -168,12 +168,12 @@
 
 TEST_CASE("a very long prompt goes where it stalls the fewest streams")
 {
-    // Load pattern: streams of some three hundred tokens beside a few very long prompts. While one of those is read, each step of its runner takes
-    // so long that half a second passes between two events of every stream there: two streams in a hundred stalled, and callers saw it.
+    // Load pattern: streams of some 300 tokens beside a few very long prompts. While one of those is prefilled, the steps of its runner take so long
+    // that half a second passes between two events of every stream there: two streams in a hundred stalled visibly to their callers.
     DispatchFixture fixture(2);
     for (int i = 0; i < 6; ++i) {
         const auto send = fixture->sent(longRequest(300, UrgencyBand::Urgent), TargetId("r0"), at(1));
-        fixture->firstToken(send, at(1.024)); // as expected: the runner isn't a slow one
+        fixture->firstToken(send, at(1.024)); // as expected, so that the runner isn't taken for a slow one
     }
     const auto behind = fixture->sent(longRequest(5000, UrgencyBand::Usual), TargetId("r1"), at(1));
     REQUIRE(behind.value() > 0);
@@ -181,7 +181,7 @@
     REQUIRE(fixture->choose(longRequest(2000, UrgencyBand::Usual), at(1.1)).target == TargetId("r0"));
 }
 
-TEST_CASE("two entries that know nothing yet choose the same runner for the same beginning")
+TEST_CASE("two gateways without any observations choose the same runner for the same prefix")
 {
     DispatchFixture one(6);
     DispatchFixture two(6);
@@ -190,7 +190,7 @@
     }
 }
 
-TEST_CASE("other entries' work counts, until their digest is too old")
+TEST_CASE("other gateways' load counts until their digest expires")
 {
     DispatchFixture fixture(2);
     const auto home = fixture->choose(request(5), at(1)).target;
@@ -207,11 +207,11 @@
     REQUIRE(fixture->running(home, at(1.1)) == 10);
     REQUIRE(fixture->choose(request(5), at(4)).target == home);
 
-    fixture->merge(digest, at(5)); // the same number again: a copy that was late
+    fixture->merge(digest, at(5)); // the same sequence number again: a late duplicate
     REQUIRE(fixture->running(home, at(5)) == 0);
 }
 
-TEST_CASE("a target that breaks off without an answer gets nothing for a while, then one request")
+TEST_CASE("a target that breaks off without an answer gets no requests for a while")
 {
     DispatchFixture fixture(2);
     const auto one = request(3);
@@ -224,7 +224,7 @@
     REQUIRE_FALSE(fixture->isEjected(home, at(9)));
 }
 
-TEST_CASE("the client's going away says nothing about its target")
+TEST_CASE("a request cancelled by the client doesn't affect the target's health")
 {
     DispatchFixture fixture(1);
     const auto one = request();
@@ -234,7 +234,7 @@
     REQUIRE_FALSE(fixture->isEjected(target, at(1.2)));
 }
 
-TEST_CASE("where no target gets through, the request still goes to one, as a last resort")
+TEST_CASE("if all targets are ejected, the request still goes to one as a last resort")
 {
     DispatchFixture fixture(1);
     fixture->unreachable(TargetId("r0"), at(1));
@@ -243,7 +243,7 @@
     REQUIRE(choice.isLastResort);
 }
 
-TEST_CASE("a refusal says what was missing")
+TEST_CASE("a refusal has the reason that no target was found")
 {
     DispatchFixture fixture(2);
     auto other = request();
@@ -260,7 +260,7 @@
     REQUIRE(fixture->choose(tried, at(1)).refusal == DispatchRefusal::AllExcluded);
 }
 
-TEST_CASE("a target that leaves or has gone gets nothing new, and a new start is known for nothing")
+TEST_CASE("a target that is leaving or gone gets no new requests")
 {
     DispatchFixture fixture(2);
     fixture->targetGone(TargetId("r0"));
@@ -271,7 +271,7 @@
     REQUIRE(fixture->choose(request(), at(1)).target.isEmpty());
 }
 
-TEST_CASE("the own zone comes first while its runners are no later")
+TEST_CASE("the own zone is preferred while its runners are no slower")
 {
     DispatchFixture fixture(0, "z2");
     fixture.add("near", "z2");
@@ -279,17 +279,17 @@
     std::map<TargetId, int> chosen;
     for (int i = 0; i < 40; ++i) {
         auto one = request();
-        one.prompt.clear(); // nothing kept anywhere, nothing to rank runners by
+        one.prompt.clear(); // without a prompt there is no cache and no ranking of the runners
         one.promptTokens = 100;
         ++chosen[fixture->choose(one, at(1)).target];
     }
     REQUIRE(chosen[TargetId("near")] == 40);
 }
 
-TEST_CASE("of two runners that are as good, the one with a kept connection is chosen")
+TEST_CASE("between equal runners, the one with a reusable connection is chosen")
 {
-    // Load pattern: two dozen entries send to four dozen runners, each pair a request in three seconds. Spread evenly, nearly half of the
-    // requests found no connection kept that was used of late, and opened one.
+    // Load pattern: 24 gateways send to 48 runners, each pair one request in three seconds. Spread evenly, nearly half of the requests found no
+    // recently used connection and opened a new one.
     std::set<int> kept {9001};
     Dispatcher dispatcher(DispatchOptions {.zone = ZoneName("z1"), .isConnected = [&](const Endpoint &address) {
                                                return kept.contains(address.port);
@@ -312,13 +312,13 @@
     REQUIRE(dispatcher.choose(made, at(1)).target != TargetId("r9001"));
 }
 
-TEST_CASE("where targets drop idle connections, kept ones are used for a shorter time")
+TEST_CASE("if targets drop idle connections, connections are reused for a shorter time")
 {
-    // A target closes idle connections and says nothing. A posting that is sent on one is reset at once; it may not be sent again, as nobody can
-    // tell whether it was made, and the caller gets a failure for a target that is sound.
+    // A target drops idle connections without closing them. A request sent on such a connection is reset at once. A non-idempotent request must not be
+    // sent again, because it may have run, so the caller would get a failure from a healthy target.
     ReuseLimit reuse;
     const auto usual = reuse.limit(at(0));
-    SECTION("a reset that comes back at once after a long idle time makes the limit short, for a while")
+    SECTION("an immediate reset after a long idle time shortens the limit for a while")
     {
         REQUIRE(reuse.connectionBroke(Duration::seconds(5), Duration::millis(4), at(10)));
         REQUIRE(reuse.limit(at(11)) < Duration::seconds(5));
@@ -326,7 +326,7 @@
         REQUIRE(reuse.limit(at(49)) < Duration::seconds(4));
         REQUIRE(reuse.limit(at(51)) == usual);
     }
-    SECTION("a run that broke, or a connection just used, says nothing of that")
+    SECTION("a late reset, or one on a recently used connection, doesn't change the limit")
     {
         REQUIRE_FALSE(reuse.connectionBroke(Duration::seconds(5), Duration::millis(200), at(10)));
         REQUIRE_FALSE(reuse.connectionBroke(Duration::millis(500), Duration::millis(4), at(10)));
@@ -334,7 +334,7 @@
     }
 }
 
-TEST_CASE("prompts are kept by what leads to them, and the longest unused go first")
+TEST_CASE("prompt parts are identified by their prefix, and the least recently used are evicted first")
 {
     const auto chains = promptChains("m1", {{1, 100}, {2, 50}});
     REQUIRE(chains.size() == 2);
@@ -350,9 +350,9 @@
     REQUIRE(cache.cachedTokens(promptChains("m1", {{9, 120}})) == 120);
 }
 
-TEST_CASE("sends beyond the first keep to a share of the requests and a part of the allowance")
+TEST_CASE("retries are limited to a share of the requests and a gateway's part of the allowance")
 {
-    // Load pattern: half of the targets crash at once and every request would be sent again; the sound ones would get twice their load.
+    // Load pattern: half of the targets crash at once. If every request were sent again, the healthy targets would get twice their load.
     SharedRetryBudget budget({.window = Duration::seconds(10), .ratio = 0.2, .allowance = 50, .safetyFactor = 1});
     budget.setGatewayCount(10);
     REQUIRE(budget.remaining(at(20)) == Approx(5));
@@ -369,10 +369,10 @@
     REQUIRE(budget.remaining(at(40)) == Approx(5));
 }
 
-TEST_CASE("a request that takes down one target after the other is barred after the third, at other entries too")
+TEST_CASE("a request that crashes one target after another is barred after the third, at other gateways too")
 {
-    // Load pattern: a client repeats one request each second, at any entry; each try kills a runner for some seconds. Unchecked, it empties a
-    // service of a few runners, and all other callers are refused.
+    // Load pattern: a client repeats one request each second at any gateway, and each try takes a runner down for some seconds. Without a limit, no runner
+    // of a small service stays up, and all other callers are refused.
     CrashRepeats here;
     CrashRepeats there;
     const auto request = requestFingerprint("host", "/chat", "the same");
@@ -390,15 +390,15 @@
     REQUIRE(here.isEmpty());
 }
 
-TEST_CASE("many targets that fail at once bar nobody, and a good end clears")
+TEST_CASE("many targets that fail at once don't bar a request, and a success clears its count")
 {
     CrashRepeats repeats;
     const auto request = requestFingerprint("host", "/chat", "usual");
     for (int i = 0; i < 10; ++i) {
-        repeats.brokeOff(request, at(1 + i * 0.01), at(2 + i * 0.001)); // all were sent before the first broke off
+        repeats.brokeOff(request, at(1 + i * 0.01), at(2 + i * 0.001)); // all were sent before the first one broke off
     }
     REQUIRE(repeats.breaks(request) == 1);
-    // One of them is down for a while and breaks off what it gets, however often that is sent again.
+    // One target is down for a while and breaks off every repetition of the request.
     for (int i = 0; i < 20; ++i) {
         repeats.brokeOff(request, at(2.1 + i * 0.03), at(2.11 + i * 0.03));
     }
@@ -407,10 +407,10 @@
     REQUIRE(repeats.isEmpty());
 }
 
-TEST_CASE("a copy that gives way gets no new requests while another can take them")
+TEST_CASE("a draining replica gets no new requests while another one can take them")
 {
-    // Load pattern: demand moves to another model, and a runner is to make room for it. Requests that still went to the model that leaves would keep its
-    // streams from ever ending; but where it is the only copy, they must not be refused for it.
+    // Load pattern: demand shifts to another model, and a replica is drained to free memory for it. If requests still went to the draining replica, it
+    // might never be unloaded; but if it is the only replica, its requests must not be refused.
     DispatchFixture fixture(0);
     fixture.add("r0", "z1", {{"m1", 0, {"a1"}, true}});
     REQUIRE(fixture->choose(request(), at(1)).target == TargetId("r0"));
@@ -421,19 +421,19 @@
         REQUIRE(choice.target == TargetId("r1"));
         fixture->sent(one, choice.target, at(1));
     }
-    // An adapter that is only there is loaded beside the copy that stays, rather than asked for where it keeps the old one.
+    // An adapter that only the draining replica has is to be loaded at the replica that stays; requests for it don't go to the draining one.
     auto adapted = request();
     adapted.adapter = "a1";
     REQUIRE(fixture->choose(adapted, at(1)).refusal == DispatchRefusal::AdapterMissing);
-    // Should the other copy not be reached, the one that gives way is better than none.
+    // If the other replica can't be reached, the draining one is used.
     fixture->unreachable(TargetId("r1"), at(1));
     REQUIRE(fixture->choose(request(), at(1)).target == TargetId("r0"));
 }
 
-TEST_CASE("a full runner is waited for by urgency")
+TEST_CASE("the expected wait for a full runner depends on urgency")
 {
-    // Load pattern: the only runner with a model is asked for more than it can do. Its places turn over all the while, and requests that can still be on time
-    // take the next ones; those that can't wait behind. Were a full runner a second's wait for everybody, all would count as late and all would be.
+    // Load pattern: the only runner with a model is overloaded. Its slots are freed continually, and the more urgent requests, which can still be on time, take
+    // the next ones. If a full runner counted as a wait of a second for every request, all requests would be treated as late.
     DispatchFixture fixture(1);
     const auto small = [](UrgencyBand band) {
         return longRequest(10, band);
@@ -449,14 +449,14 @@
     }
     const auto urgent = fixture->choose(small(UrgencyBand::Usual), at(1.1));
     REQUIRE(urgent.expectedFirst < Duration::millis(150));
-    REQUIRE(urgent.expectedIfPatient > Duration::millis(400)); // behind the twenty
+    REQUIRE(urgent.expectedIfPatient > Duration::millis(400)); // behind the 20 requests
     REQUIRE(fixture->choose(small(UrgencyBand::Patient), at(1.1)).expectedFirst > Duration::millis(400));
 }
 
-TEST_CASE("prompts that come together go to different runners, also by what others have sent")
+TEST_CASE("prompts that arrive together go to different runners, including those sent by other gateways")
 {
-    // Load pattern: many short prompts a second from several entries. Each is read within some milliseconds, but ten that come to one runner within the time
-    // between two events stall every stream there, while the runner beside it reads nothing.
+    // Load pattern: many short prompts per second from several gateways. Each is prefilled within some milliseconds, but ten that arrive at one runner between
+    // two events of its streams stall all of them, while another runner has nothing to prefill.
     DispatchFixture fixture(2);
     const auto next = [] {
         auto made = longRequest(400, UrgencyBand::Usual);
@@ -470,17 +470,17 @@
     REQUIRE(fixture->choose(next(), at(1.07)).target == TargetId("r1"));
     fixture->merge({{TargetId("r1"), Duration::millis(200)}}, at(1.07));
     REQUIRE(fixture->choose(next(), at(1.08)).target == TargetId("r0"));
-    const auto told = fixture->takeSentPrefill();
-    REQUIRE(told.size() == 1);
-    REQUIRE(told.front().target == TargetId("r0"));
-    REQUIRE(told.front().prefill > Duration::millis(5));
+    const auto sent = fixture->takeSentPrefill();
+    REQUIRE(sent.size() == 1);
+    REQUIRE(sent.front().target == TargetId("r0"));
+    REQUIRE(sent.front().prefill > Duration::millis(5));
     REQUIRE(fixture->takeSentPrefill().empty());
 }
 
-TEST_CASE("a first step and the reading of a prompt are told apart")
+TEST_CASE("the engine's first step and its prefill rate are learnt separately")
 {
-    // An engine whose first step takes 8 ms and that reads 40 tokens a millisecond. With the step taken to be twice as long, reading would seem to take next to
-    // no time, and many prompts at once on one runner would seem to do no harm.
+    // An engine whose first step takes 8 ms and which prefills 40 tokens per millisecond. If the step were estimated twice as long, prefill would seem to take
+    // almost no time, and many prompts at once on one runner would seem harmless.
     DispatchFixture fixture(1);
     double now = 1;
     for (int i = 0; i < 300; ++i) {
@@ -498,7 +498,7 @@
     REQUIRE(longOne - shortOne < Duration::millis(60));
 }
 
-TEST_CASE("streams under way are counted by target and model, whatever their end")
+TEST_CASE("streams in flight are counted by target and model, however they end")
 {
     DispatchFixture fixture(2);
     const auto sent = [&](const char *target) {
--- a/tests/unit_herd.cpp
+++ b/tests/unit_herd.cpp
@@ -1,4 +1,4 @@
-// Many gateways choose targets for short calls by a view of each other's load that is older than the calls last. In virtual time.
+// Many gateways choose targets for short calls by a load sum that is older than the duration of a call. In virtual time.
 #include "core/cellload.h"
 #include "core/dispatch.h"
 
@@ -15,23 +15,23 @@
 
 constexpr int Targets = 7;
 constexpr int Slots = 6;
-constexpr int Queue = 24; ///< requests that a full target keeps waiting before it rejects more
+constexpr int Queue = 24; ///< requests that a full target queues before it rejects more
 constexpr double CallSeconds = 0.06;
 
 struct HerdOptions {
     int gateways = 100;
     double callsPerSecond = 350;
     double viewSeconds = 0.1; ///< between two sums of all gateways' load
-    int choices = 2;
+    int choices = 2; ///< DispatchOptions::plainChoices
 };
 
 struct HerdResult {
     int calls = 0;
     int rejected = 0;
-    int waited = 0; ///< calls that found all slots taken
+    int waited = 0; ///< calls that found all slots of their target taken
 };
 
-/// Short calls of many gateways at a few targets.
+/// Simulates short calls of many gateways to a few targets.
 class Herd
 {
 public:
@@ -152,9 +152,9 @@
 
 } // namespace
 
-TEST_CASE("a herd of gateways fills no target while others are idle")
+TEST_CASE("many gateways don't fill one target while others are idle")
 {
-    // Load pattern: 100 gateways send 350 calls of 60 ms a second to seven targets of six slots, which are half full then.
+    // Load pattern: 100 gateways send 350 calls of 60 ms per second to seven targets with six slots each, so the targets are half full.
     for (const double age : {0.02, 0.1, 0.2, 0.5}) {
         const auto result = Herd({.viewSeconds = age}).run(20);
         INFO("view " << age << " s, calls " << result.calls << ", waited " << result.waited << ", rejected " << result.rejected);
@@ -165,13 +165,13 @@
 
 TEST_CASE("few gateways choose no worse than many")
 {
-    // Load pattern: six gateways, 33 calls of 60 ms a second for each of them, at three quarters of what the targets can do.
+    // Load pattern: six gateways send 520 calls of 60 ms per second, three quarters of the targets' capacity.
     const auto result = Herd({.gateways = 6, .callsPerSecond = 520, .viewSeconds = 0.2}).run(20);
     INFO("calls " << result.calls << ", waited " << result.waited << ", rejected " << result.rejected);
     CHECK(result.rejected * 100 < result.calls * 2);
 }
 
-TEST_CASE("choosing the emptiest target of an old view is what fills it", "[herd]")
+TEST_CASE("choosing the least loaded target by an outdated sum overloads it", "[herd]")
 {
     const auto result = Herd({.viewSeconds = 0.2, .choices = Targets}).run(20);
     CHECK(result.waited * 100 > result.calls * 40);
--- a/tests/unit_peerloads.cpp
+++ b/tests/unit_peerloads.cpp
@@ -25,9 +25,10 @@
 
 } // namespace
 
-TEST_CASE("a process that is gone takes its reports with it, those of all its starts")
+TEST_CASE("a gateway that is gone loses the reports of all its incarnations")
 {
-    // Reports are kept by start, but silence is noticed by process: replaced gateways' reports stayed, and every estimate walked over them.
+    // Reports are stored by incarnation, but the loss of a gateway is detected by its id. If only an exact match were removed, the reports of replaced
+    // gateways would stay, and every estimate would iterate over them.
     PeerLoads loads;
     loads.merge(digestOf("g1#100", 1, 3), at(0));
     loads.merge(digestOf("g1#200", 1, 4), at(0));
@@ -40,7 +41,7 @@
     CHECK(loads.work(TargetId("r1"), at(0.1)).running == 5);
 }
 
-TEST_CASE("a report counts until its lifetime is over, and an earlier one that comes late changes nothing")
+TEST_CASE("a report counts until its lifetime is over, and an older one that arrives late is ignored")
 {
     PeerLoads loads(Duration::seconds(2));
     CHECK(loads.merge(digestOf("g1", 5, 3), at(0)));
@@ -51,7 +52,7 @@
     CHECK_FALSE(loads.hasFresh(at(2.1)));
 }
 
-TEST_CASE("what was pending when several entries reported is worked on once as time passes")
+TEST_CASE("pending prefill reported by several gateways is reduced once by the elapsed time")
 {
     PeerLoads loads;
     loads.merge(digestOf("g1", 1, 1, 100), at(0));
@@ -60,7 +61,7 @@
     CHECK(loads.work(TargetId("r1"), at(0.05)).pendingPrefill.at(0) == Approx(150));
 }
 
-TEST_CASE("another entry's ejection counts until a success here that is later")
+TEST_CASE("another gateway's ejection counts until a later success here")
 {
     PeerLoads loads;
     auto digest = digestOf("g1", 1, 1);
--- a/tests/unit_routing.cpp
+++ b/tests/unit_routing.cpp
@@ -61,7 +61,7 @@
         return RoutingRequest {.id = id(sent++), .artifacts = {Sun}, .deadline = now + Duration::seconds(10)};
     }
 
-    /// Chooses and sends; empty if refused.
+    /// Chooses a target and starts the request there; empty if refused.
     auto send(const RoutingRequest &request) -> TargetId
     {
         const auto choice = router.choose(request, now);
@@ -86,7 +86,7 @@
 
 } // namespace
 
-TEST_CASE("only a live target with the artifact resident is chosen, and a refusal says why")
+TEST_CASE("only a live target with the artifact resident is chosen, and a refusal has its reason")
 {
     RouterFixture fixture({}, 2);
     auto request = fixture.request();
@@ -101,7 +101,7 @@
     REQUIRE(fixture.router.choose(request, fixture.now).isRefused());
 }
 
-TEST_CASE("a target that is leaving gets no new work")
+TEST_CASE("a target that is leaving gets no new requests")
 {
     RouterFixture fixture({}, 2);
     fixture.report(0, {.leaving = true});
@@ -110,7 +110,7 @@
 
 TEST_CASE("requests sent since the last report count as load")
 {
-    // Reports lag. Were they all that counts, every request between two reports would go to the one target that looked idle last.
+    // If only reports counted, every request between two reports would go to the target that was idle in the last ones.
     RouterFixture fixture({.twoChoices = true}, 4);
     fixture.report(0, {.running = 8});
     fixture.report(1, {.running = 8});
@@ -124,7 +124,7 @@
     REQUIRE(counts[target(3)] > 10);
 }
 
-TEST_CASE("what can't be in time anywhere is refused before it is sent")
+TEST_CASE("a request that can't meet its deadline anywhere is refused before it is sent")
 {
     RouterFixture fixture({}, 2);
     auto request = fixture.request();
@@ -134,7 +134,7 @@
     REQUIRE_FALSE(choice.reason.empty());
 }
 
-TEST_CASE("batch requests leave room for the others")
+TEST_CASE("batch requests leave capacity for the other classes")
 {
     RouterFixture fixture({}, 1);
     fixture.report(0, {.running = 24});
@@ -149,7 +149,7 @@
     REQUIRE_FALSE(fixture.router.choose(request, fixture.now).isRefused());
 }
 
-TEST_CASE("requests with a common prefix meet at one target until it is busier than the rest")
+TEST_CASE("requests with a common prefix go to the same target until it is busier than the others")
 {
     RouterFixture fixture({}, 4);
     auto first = fixture.request();
@@ -170,8 +170,8 @@
 
 TEST_CASE("a short request doesn't queue behind a long prompt")
 {
-    // A review of 4,000 tokens has just gone to a target that runs nothing else. An advisory sent there too would get its first token a second
-    // later, when the patron has left, though by number of requests that target is as free as the others.
+    // A prompt of 4000 tokens has just been sent to an otherwise idle target. A short request sent there too would get its first token a second
+    // later, though by the number of requests that target is no busier than the other one.
     RouterFixture fixture({}, 2);
     auto review = fixture.request();
     review.promptTokens = 4000;
@@ -220,16 +220,16 @@
     }
 }
 
-TEST_CASE("on equal terms the nearest zone is taken")
+TEST_CASE("between equal targets, the one in the own zone is chosen")
 {
     RouterFixture fixture({}, 2);
     REQUIRE(fixture.countSends(20)[target(0)] == 20);
 }
 
-TEST_CASE("a target that fails is shed, then comes back gradually")
+TEST_CASE("a target that fails is ejected, then comes back gradually")
 {
-    // One target answers with errors, and quickly: to a router that looks at load alone it seems the least busy of all, and draws
-    // every request to itself.
+    // One target answers quickly with errors. A router that considers only load would take it for the least loaded target and send it
+    // every request.
     RouterFixture fixture({}, 4);
     for (int i = 0; i < 3; ++i) {
         const auto one = fixture.request();
@@ -253,10 +253,9 @@
     REQUIRE(fixture.countSends(200)[target(2)] > 20);
 }
 
-TEST_CASE("a target that has become slow gets less")
+TEST_CASE("a target that has become slow gets fewer requests")
 {
-    // One engine takes three times as long as the others for the same work. It answers everything, so nothing counts as a failure; its callers
-    // only wait.
+    // One engine takes three times as long as the others. It answers every request, so nothing counts as a failure, but its callers wait longer.
     RouterFixture fixture({}, 4);
     for (int i = 0; i < 100; ++i) {
         for (int number = 0; number < 4; ++number) {
@@ -268,10 +267,10 @@
     REQUIRE(fixture.countSends(40)[target(0)] == 0);
 }
 
-TEST_CASE("a plain service isn't judged by a model's service times")
+TEST_CASE("a plain service isn't estimated by a model's service times")
 {
-    // Both are interactive. An advisory takes two seconds, a balance lookup twenty milliseconds; were they one class, every lookup would be
-    // refused as too late for its budget of one second.
+    // Both kinds of requests are interactive. The model's take two seconds, the plain service's 20 milliseconds. If they were one class, every
+    // lookup would be refused as too late for its time budget of one second.
     RouterFixture fixture({}, 2);
     const ServiceName ledger("ledger");
     fixture.router.targetUp(TargetId("ledger-1"), Here, ledger, fixture.now);
@@ -286,7 +285,7 @@
     REQUIRE(fixture.router.choose(lookup, fixture.now).target == TargetId("ledger-1"));
 }
 
-TEST_CASE("a target whose reports stop is used less, then not at all")
+TEST_CASE("a target whose reports stop gets fewer requests, then none")
 {
     RouterFixture fixture({}, 2);
     fixture.now = at(3);
@@ -297,7 +296,7 @@
     REQUIRE(fixture.countSends(50)[target(0)] == 0);
 }
 
-TEST_CASE("an engine that restarted is started slowly")
+TEST_CASE("a target whose engine has restarted gets its full share gradually")
 {
     RouterFixture fixture({}, 2);
     fixture.report(0, {.engineGeneration = 1});
@@ -305,7 +304,7 @@
     REQUIRE(fixture.router.weight(target(1), fixture.now) == 1);
 }
 
-TEST_CASE("the baselines route as they say")
+TEST_CASE("the baseline strategies choose in turn or by load")
 {
     RouterFixture fixture({.strategy = RoutingStrategy::RoundRobin}, 4);
     for (const auto &[chosen, count] : fixture.countSends(40)) {
@@ -334,7 +333,7 @@
     REQUIRE(limit.limit() == 4);
 }
 
-TEST_CASE("a limit that isn't used doesn't grow")
+TEST_CASE("a concurrency limit that isn't reached doesn't grow")
 {
     ConcurrencyLimit limit({.initial = 16});
     for (int i = 0; i < 1000; ++i) {
--- a/tests/unit_targets.cpp
+++ b/tests/unit_targets.cpp
@@ -1,4 +1,4 @@
-// What entries know of targets and routes: copies of tables, rows that go, routes by host and prefix. In virtual time.
+// A gateway's view of targets and routes: mirrors of store tables, removed rows, routes by host and prefix, event streams. In virtual time.
 #include "core/eventcursor.h"
 #include "core/rowmirror.h"
 #include "core/targetview.h"
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("changes that overtake each other leave the newest row")
+TEST_CASE("changes that arrive out of order leave the newest row")
 {
     RowMirror mirror;
     REQUIRE(mirror.takeChanges({row("a", 5, "new")}).size() == 1);
@@ -40,10 +40,10 @@
     REQUIRE(mirror.version() == RowVersion(5));
 }
 
-TEST_CASE("a removed row isn't brought back by older word of it")
+TEST_CASE("a removed row isn't restored by an older change")
 {
-    // One gateway's word of a target's row arrives after another's word that the row is gone. Brought back, the target would be sent work
-    // that it can't take until somebody reads the whole table again.
+    // A row forwarded by one gateway arrives after another gateway's notice that the row was removed. If the row were restored, the target would
+    // get requests that it can't take until the whole table is read again.
     RowMirror mirror;
     mirror.takeChanges({row("a", 5)});
     REQUIRE(mirror.takeChanges({{"a", RowVersion(6), "", true}}).size() == 1);
@@ -52,7 +52,7 @@
     REQUIRE(mirror.takeChanges({row("a", 7)}).size() == 1);
 }
 
-TEST_CASE("a whole table removes what isn't in it, but not what is newer")
+TEST_CASE("reading the whole table removes rows that aren't in it, except newer ones")
 {
     RowMirror mirror;
     REQUIRE_FALSE(mirror.isLoaded());
@@ -64,7 +64,7 @@
     REQUIRE(mirror.takeChanges({row("old", 9)}).empty());
 }
 
-TEST_CASE("mirrors that took the same rows in another order have the same checksum")
+TEST_CASE("mirrors that applied the same rows in a different order have the same checksum")
 {
     RowMirror one;
     RowMirror two;
@@ -75,10 +75,10 @@
     REQUIRE(one.checksum() != two.checksum());
 }
 
-TEST_CASE("a row that goes is believed at once, but not during the store's trouble nor soon after")
+TEST_CASE("the removal of a row takes effect at once, but not while the store is unreachable or soon after")
 {
-    // The store was away and drops all rows, for it heard nothing of the targets itself. Believed, every caller would be refused until the
-    // targets are back.
+    // The store was unavailable and then removes all rows, because no target could renew its row. If the removals took effect, every caller would
+    // be refused until the targets have registered again.
     TargetView view;
     view.rowReceived(target("r1"), at(0));
     view.rowReceived(target("r2"), at(0));
@@ -91,9 +91,10 @@
     REQUIRE(view.find(TargetId("r2")) == nullptr);
 }
 
-TEST_CASE("rows of most targets that go at one moment are doubted, those of a few are not")
+TEST_CASE("the removal of most targets' rows at once is doubted, that of a few is not")
 {
-    // Nobody noticed that the store was away; it drops all rows. Believed, every caller is refused until the targets are back.
+    // The store was unavailable without this being noticed, and then removes all rows. If the removals took effect, every caller would be refused
+    // until the targets have registered again.
     TargetView view;
     for (int i = 0; i < 6; ++i) {
         view.rowReceived(target("r" + std::to_string(i)), at(0));
@@ -106,12 +107,12 @@
     REQUIRE(view.find(TargetId("r0")) != nullptr);
     REQUIRE(view.advance(at(5)).gone.size() == 1);
 
-    TargetView single; // a service of one target: that one goes
+    TargetView single; // the only target may be removed
     single.rowReceived(target("r0"), at(0));
     REQUIRE_FALSE(single.detectMassRemoval(1, at(1)));
 }
 
-TEST_CASE("a target that is back after trouble stays")
+TEST_CASE("a target whose row returns after the store was unreachable stays")
 {
     TargetView view;
     view.rowReceived(target("r1"), at(0));
@@ -122,7 +123,7 @@
     REQUIRE(view.find(TargetId("r1")) != nullptr);
 }
 
-TEST_CASE("a target that had said that it leaves is gone when its row goes, trouble or not")
+TEST_CASE("a target that announced that it is leaving is gone with its row, even if the store was unreachable")
 {
     TargetView view;
     view.rowReceived(target("r1"), at(0));
@@ -131,9 +132,9 @@
     REQUIRE(view.rowRemoved(TargetId("r1"), at(2)).gone.size() == 1);
 }
 
-TEST_CASE("word that a target leaves doesn't count for its next start")
+TEST_CASE("a report that a target is leaving doesn't apply to its next incarnation")
 {
-    // Under the same id a new process is up; word of its predecessor's leaving is still on its way. Believed, a sound target gets nothing.
+    // A new process runs under the same id when the report about its predecessor arrives. If the report applied, a healthy target would get no requests.
     TargetView view;
     view.rowReceived(target("r1", 2), at(0));
     REQUIRE(view.reportedLeaving({TargetId("r1"), 1}, at(1)).seen.empty());
@@ -157,7 +158,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of the host's routes wins, in whole parts of the path")
+TEST_CASE("the host's route with the longest prefix wins, matched by whole path segments")
 {
     Traffic traffic;
     traffic.routes = {route("all", "a.example", "/"), route("chat", "a.example", "/chat/"), route("deep", "a.example", "/chat/deep/")};
@@ -169,7 +170,7 @@
     REQUIRE(table.find("", "") == nullptr);
 }
 
-TEST_CASE("weights share a route's requests, and a weight of 0 gets none")
+TEST_CASE("a route's requests are shared by weight, and a weight of 0 gets none")
 {
     auto shared = route("r", "h", "/");
     shared.services = {{ServiceName("none"), 0}, {ServiceName("most"), 9}, {ServiceName("few"), 1}};
@@ -178,7 +179,7 @@
     REQUIRE(pickService(shared, 0.91) == ServiceName("few"));
 }
 
-TEST_CASE("within a priority a route with a much longer goal waits for the others")
+TEST_CASE("within a priority, a route with a much longer goal gets a less urgent band")
 {
     Traffic traffic;
     traffic.routes = {route("urgent", "h", "/u/", 0, 1), route("later", "h", "/l/", 5, 1), route("patient", "h", "/p/", 0, 60)};
@@ -187,7 +188,7 @@
     REQUIRE(traffic.routes[0].band <= traffic.routes[1].band);
 }
 
-TEST_CASE("events come whole with their ids, whatever pieces their bytes come in")
+TEST_CASE("events are passed on whole with their ids, however their bytes are split")
 {
     const std::string stream = "id: 1\ndata: a\n\n: note\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: cut";
     for (std::size_t piece = 1; piece < stream.size(); ++piece) {
@@ -205,7 +206,7 @@
     }
 }
 
-TEST_CASE("an event without an end doesn't take all memory")
+TEST_CASE("an event without an end is limited in size")
 {
     EventCursor cursor([](std::string_view) {}, 100);
     cursor.feed("data: " + std::string(200, 'x'));
