--- a/src/agent/claimtask.cpp
+++ b/src/agent/claimtask.cpp
@@ -67,7 +67,7 @@
     send.keepUntilMs = settings.wallMillis() + settings.retention(key.service).inMillis();
     waiting.emplace(send.send.value(), std::move(done));
     // A verdict may come at once; the caller must have its send's id first.
-    loop.post([this, send] { perform(runOnce.arrive(send, loop.now())); });
+    loop.post([this, send] { perform(runOnce.submit(send, loop.now())); });
     return send.send;
 }
 
@@ -89,7 +89,7 @@
         decide(send.send, send);
         return;
     }
-    loop.post([this, id = send.send] { perform(runOnce.runEnded(id, RunEnd::NotRun, {}, loop.now())); });
+    loop.post([this, id = send.send] { perform(runOnce.runEnded(id, RunOutcome::NotRun, {}, loop.now())); });
 }
 
 auto ClaimTask::Private::perform(const RunOnceActions &actions) -> void
@@ -179,7 +179,7 @@
         d->waiting.erase(send.value());
         d->perform(d->runOnce.cancel(send, d->loop.now()));
     };
-    hooks.runEnded = [this](SendId send, RunEnd end, const RunRecord &record) {
+    hooks.runEnded = [this](SendId send, RunOutcome end, const RunRecord &record) {
         d->perform(d->runOnce.runEnded(send, end, record, d->loop.now()));
     };
     return hooks;
--- a/src/agent/requesttasks.cpp
+++ b/src/agent/requesttasks.cpp
@@ -137,7 +137,7 @@
     auto sendHead(const TaskPtr &task) -> void;
     auto sendData(const TaskPtr &task, std::string_view data) -> void;
     auto finishRun(const TaskPtr &task) -> void;
-    auto reportRunEnd(const TaskPtr &task, RunEnd end) -> void;
+    auto reportRunEnd(const TaskPtr &task, RunOutcome end) -> void;
     auto end(const TaskPtr &task, const Wire::End &end) -> void;
     auto useArtifacts(const RequestTask &task, int change) -> void;
     auto leaveQueue(const TaskPtr &task) -> void;
@@ -261,7 +261,7 @@
     if (task->state == TaskState::Queued) {
         task->expiry = loop.after(task->deadline - loop.now(), [this, task] {
             leaveQueue(task);
-            reportRunEnd(task, RunEnd::NotRun);
+            reportRunEnd(task, RunOutcome::NotRun);
             end(task, refusalOf("too-late", "its time ran out while it waited"));
         });
         hooks.onChanged();
@@ -411,17 +411,17 @@
         meanMicros += MeanWeight * (static_cast<double>(took.inMicros()) - meanMicros);
         finishRun(task);
     } else if (task->state == TaskState::Ended || how == CallEnd::Cancelled) {
-        reportRunEnd(task, RunEnd::Unknown);
+        reportRunEnd(task, RunOutcome::Unknown);
         end(task, unknownOf("cancelled", "the caller left"));
     } else if (how == CallEnd::NotSent) {
-        reportRunEnd(task, RunEnd::NotRun);
+        reportRunEnd(task, RunOutcome::NotRun);
         end(task, refusalOf("target-down", "the target doesn't accept connections"));
         if (hooks.suspectCrash) {
             hooks.suspectCrash([](bool /*hasCrashed*/) {});
         }
     } else if (how == CallEnd::Timeout) {
         limit.observeOverload();
-        reportRunEnd(task, RunEnd::Unknown);
+        reportRunEnd(task, RunOutcome::Unknown);
         end(task, unknownOf("timeout", "the target didn't answer in time"));
     } else {
         onBroken(task);
@@ -436,7 +436,7 @@
     if (task->holdsHead) {
         const bool isMissing = task->status == HttpStatus::NotFound && task->held.find("not-resident") != std::string::npos;
         if (isMissing || task->status != HttpStatus::NotFound) {
-            reportRunEnd(task, RunEnd::NotRun);
+            reportRunEnd(task, RunOutcome::NotRun);
             end(task, refusalOf(isMissing ? "not-resident" : "overloaded", "the engine refused it"));
             return;
         }
@@ -446,14 +446,14 @@
     if (task->open.alone()) {
         hooks.completedAlone(task->open.fingerprint());
     }
-    reportRunEnd(task, RunEnd::Answered);
+    reportRunEnd(task, RunOutcome::Answered);
     end(task, deliveredEnd());
 }
 
 /// The entry has to know whether the engine is gone before it sends the request elsewhere, or the next engine follows.
 auto RequestTasks::Private::onBroken(const TaskPtr &task) -> void
 {
-    reportRunEnd(task, RunEnd::Unknown);
+    reportRunEnd(task, RunOutcome::Unknown);
     if (!hooks.suspectCrash) {
         end(task, unknownOf("target-broken", "the target's answer broke off"));
         return;
@@ -468,14 +468,14 @@
 
 // [SECTION] Ending
 
-auto RequestTasks::Private::reportRunEnd(const TaskPtr &task, RunEnd how) -> void
+auto RequestTasks::Private::reportRunEnd(const TaskPtr &task, RunOutcome how) -> void
 {
     if (!task->hasClaim) {
         return;
     }
     task->hasClaim = false;
     RunRecord record;
-    if (how == RunEnd::Answered) {
+    if (how == RunOutcome::Answered) {
         record.status = task->status;
         for (const auto &header : task->headers) {
             record.headers.emplace_back(header.name, header.value);
@@ -528,7 +528,7 @@
         return;
     case TaskState::Queued:
         leaveQueue(task);
-        reportRunEnd(task, RunEnd::NotRun);
+        reportRunEnd(task, RunOutcome::NotRun);
         end(task, refusalOf("cancelled", "the caller left before it ran"));
         hooks.onChanged();
         return;
--- a/src/agent/requesttasks.h
+++ b/src/agent/requesttasks.h
@@ -30,7 +30,7 @@
 struct ClaimHooks {
     std::function<SendId(const ClaimKey &key, TimePoint deadline, std::function<void(const ClaimVerdict &verdict)> done)> begin;
     std::function<void(SendId send)> cancel; ///< the caller left before the verdict
-    std::function<void(SendId send, RunEnd end, const RunRecord &record)> runEnded;
+    std::function<void(SendId send, RunOutcome end, const RunRecord &record)> runEnded;
 };
 
 struct RequestHooks {
--- a/src/agent/residencytask.cpp
+++ b/src/agent/residencytask.cpp
@@ -164,7 +164,7 @@
     statusAsked = true;
     const auto askedAt = loop.now();
     if (ledger) {
-        ledger->statusAsked(askedAt);
+        ledger->statusRequested(askedAt);
     }
     engine.status([this, askedAt](const Result<EngineView> &answer) { onStatus(askedAt, answer); });
 }
@@ -192,7 +192,7 @@
         return;
     }
     const auto action = ledger->nextAction(loop.now());
-    if (action.kind == LedgerAction::Kind::AskStatus) {
+    if (action.kind == LedgerAction::Kind::RequestStatus) {
         askStatus();
     } else if (action.kind == LedgerAction::Kind::RaiseFence) {
         raiseFence(action.fence);
@@ -350,7 +350,7 @@
         d->ledger.emplace(
             settings, d->settings.orderPrefix + (isFirst ? "a" : "b" + std::to_string(d->loop.now().inMicros())), isFirst ? d->startedAt : d->loop.now());
     }
-    d->ledger->declare(settings.longestOrderDelay, settings.kvReserve);
+    d->ledger->updateDeclaration(settings.longestOrderDelay, settings.kvReserve);
     d->step();
 }
 
--- a/src/core/crashrepeats.cpp
+++ b/src/core/crashrepeats.cpp
@@ -34,22 +34,22 @@
 auto CrashRepeats::isBarred(std::uint64_t fingerprint, TimePoint now) const -> bool
 {
     const auto found = m_records.find(fingerprint);
-    return found != m_records.end() && found->second.breaks >= m_options.mostBreaks && now - found->second.lastAt < m_options.lifetime;
+    return found != m_records.end() && found->second.breaks >= m_options.breaksToBar && now - found->second.lastAt < m_options.lifetime;
 }
 
-auto CrashRepeats::record(std::uint64_t fingerprint) -> Record *
+auto CrashRepeats::findOrAdd(std::uint64_t fingerprint) -> Record *
 {
     const auto found = m_records.find(fingerprint);
     if (found != m_records.end()) {
         return &found->second;
     }
-    return m_records.size() < m_options.most ? &m_records[fingerprint] : nullptr;
+    return m_records.size() < m_options.maxRecords ? &m_records[fingerprint] : nullptr;
 }
 
-auto CrashRepeats::brokeOff(std::uint64_t fingerprint, TimePoint sentAt, TimePoint now) -> bool
+auto CrashRepeats::targetBrokeOff(std::uint64_t fingerprint, TimePoint sentAt, TimePoint now) -> bool
 {
-    auto *known = record(fingerprint);
-    const bool isNext = known != nullptr && (known->breaks == 0 || (sentAt > known->lastAt && now - known->lastAt >= m_options.apart));
+    auto *known = findOrAdd(fingerprint);
+    const bool isNext = known != nullptr && (known->breaks == 0 || (sentAt > known->lastAt && now - known->lastAt >= m_options.minInterval));
     if (isNext) {
         ++known->breaks;
         known->lastAt = now;
@@ -64,7 +64,7 @@
 
 auto CrashRepeats::reported(std::uint64_t fingerprint, int breaks, TimePoint now) -> void
 {
-    auto *known = record(fingerprint);
+    auto *known = findOrAdd(fingerprint);
     if (known != nullptr && breaks > known->breaks) {
         *known = {breaks, now};
     }
--- a/src/core/crashrepeats.h
+++ b/src/core/crashrepeats.h
@@ -18,10 +18,11 @@
 {
 
 struct CrashRepeatOptions {
-    int mostBreaks = 3; ///< targets; the least that tells such a request from two accidents of targets within the lifetime
-    Duration apart = Duration::millis(900); ///< between breaks that count; a crashed target is down for longer, and clients come again after about a second
+    int breaksToBar = 3; ///< targets; the least that tells such a request from two accidents of targets within the lifetime
+    Duration minInterval
+        = Duration::millis(900); ///< between breaks that count; a crashed target is down for longer, and clients come again after about a second
     Duration lifetime = Duration::seconds(120); ///< after the last break; who repeats a request does so within its patience, some seconds
-    std::size_t most = 4096; ///< requests remembered; beyond, no further ones are
+    std::size_t maxRecords = 4096; ///< requests remembered; beyond, no further ones are
 };
 
 /// The same for requests with the same host, path and body.
@@ -37,7 +38,7 @@
     auto breaks(std::uint64_t fingerprint) const -> int;
 
     /// The target broke off while it ran the request. True if that counts: other entries are to be notified then.
-    auto brokeOff(std::uint64_t fingerprint, TimePoint sentAt, TimePoint now) -> bool;
+    auto targetBrokeOff(std::uint64_t fingerprint, TimePoint sentAt, TimePoint now) -> bool;
     auto succeeded(std::uint64_t fingerprint) -> void;
     /// Another entry has counted that many.
     auto reported(std::uint64_t fingerprint, int breaks, TimePoint now) -> void;
@@ -48,7 +49,7 @@
         int breaks = 0;
         TimePoint lastAt;
     };
-    auto record(std::uint64_t fingerprint) -> Record *;
+    auto findOrAdd(std::uint64_t fingerprint) -> Record *;
 
     CrashRepeatOptions m_options;
     std::unordered_map<std::uint64_t, Record> m_records;
--- a/src/core/eventcursor.cpp
+++ b/src/core/eventcursor.cpp
@@ -7,7 +7,7 @@
 {
 
 /// Where the first whole event ends: behind its blank line; npos if there is none yet.
-auto endOfEvent(std::string_view text) -> std::size_t
+auto eventEnd(std::string_view text) -> std::size_t
 {
     for (std::size_t i = 0; i + 1 < text.size(); ++i) {
         if (text[i] != '\n') {
@@ -53,8 +53,8 @@
     }
     m_buffer.append(bytes);
     std::size_t begin = 0;
-    for (auto size = endOfEvent(m_buffer); size != std::string_view::npos; size = endOfEvent(std::string_view(m_buffer).substr(begin))) {
-        take(std::string_view(m_buffer).substr(begin, size));
+    for (auto size = eventEnd(m_buffer); size != std::string_view::npos; size = eventEnd(std::string_view(m_buffer).substr(begin))) {
+        handleEvent(std::string_view(m_buffer).substr(begin, size));
         begin += size;
     }
     m_buffer.erase(0, begin);
@@ -66,7 +66,7 @@
     m_buffer.clear();
 }
 
-auto EventCursor::take(std::string_view raw) -> void
+auto EventCursor::handleEvent(std::string_view raw) -> void
 {
     constexpr std::string_view Key = "id:";
     std::string_view lines = raw;
--- a/src/core/eventcursor.h
+++ b/src/core/eventcursor.h
@@ -23,7 +23,7 @@
     auto dropPartial() -> void;
 
 private:
-    auto take(std::string_view raw) -> void;
+    auto handleEvent(std::string_view raw) -> void;
 
     std::function<void(std::string_view raw)> m_onEvent;
     std::size_t m_maxEvent;
--- a/src/core/eventstream.cpp
+++ b/src/core/eventstream.cpp
@@ -81,14 +81,14 @@
     std::size_t taken = 0;
     const std::string_view all = m_buffer;
     for (std::size_t size = eventEnd(all); size != std::string_view::npos; size = eventEnd(all.substr(taken))) {
-        take(all.substr(taken, size));
+        handleEvent(all.substr(taken, size));
         taken += size;
     }
     m_buffer.erase(0, taken);
     m_malformed = m_buffer.size() > m_maxEvent;
 }
 
-auto EventStreamReader::take(std::string_view raw) -> void
+auto EventStreamReader::handleEvent(std::string_view raw) -> void
 {
     const std::string data = dataOf(raw);
     if (data == DonePayload) {
--- a/src/core/eventstream.h
+++ b/src/core/eventstream.h
@@ -27,7 +27,7 @@
     auto feed(std::string_view bytes) -> void;
 
 private:
-    auto take(std::string_view raw) -> void;
+    auto handleEvent(std::string_view raw) -> void;
 
     EventHook m_onEvent;
     std::size_t m_maxEvent;
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -14,7 +14,7 @@
     EngineOrder order;
     TimePoint sentAt;
     std::uint64_t generation = 0; ///< of the engine, as known when the order was sent
-    bool seen = false; ///< the last status shows it under way, so the status already charges it
+    bool isInStatus = false; ///< the last status shows it under way, so the status already charges it
 };
 
 auto bytesOf(const std::vector<EngineArtifact> &artifacts) -> Bytes
@@ -26,12 +26,12 @@
     return sum;
 }
 
-auto holds(const std::vector<EngineArtifact> &artifacts, const ArtifactName &name) -> bool
+auto containsArtifact(const std::vector<EngineArtifact> &artifacts, const ArtifactName &name) -> bool
 {
     return std::any_of(artifacts.begin(), artifacts.end(), [&](const EngineArtifact &entry) { return entry.artifact == name; });
 }
 
-auto holdsOrder(const std::vector<EngineArtifact> &artifacts, const OrderId &id) -> bool
+auto containsOrder(const std::vector<EngineArtifact> &artifacts, const OrderId &id) -> bool
 {
     return std::any_of(artifacts.begin(), artifacts.end(), [&](const EngineArtifact &entry) { return entry.order == id; });
 }
@@ -53,7 +53,7 @@
         return "not-there";
     case LedgerRefusal::OrderOutstanding:
         return "order-outstanding";
-    case LedgerRefusal::NoRoom:
+    case LedgerRefusal::NoMemory:
         return "no-memory";
     }
     return "none";
@@ -67,11 +67,11 @@
     bool open = false;
     std::optional<EngineStatus> status; ///< the last one adopted
     TimePoint statusReceivedAt; ///< when the answer came
-    std::optional<TimePoint> question; ///< a status asked for and not answered yet
-    std::optional<TimePoint> lastQuestion;
+    std::optional<TimePoint> pendingStatusRequest; ///< a status asked for and not answered yet
+    std::optional<TimePoint> lastStatusRequest;
     std::optional<Fence> openingFence; ///< orders below this are a predecessor's; none until a first status shows where to start
     Fence fence; ///< for orders; the highest shown by the engine or answered to a raise
-    std::optional<Fence> raise; ///< sent and not answered yet
+    std::optional<Fence> pendingRaise; ///< sent and not answered yet
     TimePoint raiseSentAt;
     std::map<ArtifactName, Outstanding> outstanding; ///< one per artifact
 
@@ -79,13 +79,13 @@
     {
         return settings.fencing == FencingSupport::Checked;
     }
-    auto settle(const Outstanding &entry, TimePoint askedAt) const -> bool;
-    auto adopt(TimePoint askedAt) -> void;
-    auto reopen(TimePoint askedAt) -> void;
+    auto isSettled(const Outstanding &entry, TimePoint requestedAt) const -> bool;
+    auto eraseSettledOrders(TimePoint requestedAt) -> void;
+    auto tryOpen(TimePoint requestedAt) -> void;
     auto refusal(const ArtifactName &artifact) const -> LedgerRefusal;
-    auto order(EngineOrder draft, TimePoint now) -> EngineOrder;
-    auto needsFence(TimePoint now) const -> bool;
-    auto waitsForStatus() const -> bool;
+    auto createOrder(EngineOrder draft, TimePoint now) -> EngineOrder;
+    auto needsFenceRaise(TimePoint now) const -> bool;
+    auto needsFrequentStatus() const -> bool;
 };
 
 MemoryLedger::MemoryLedger(LedgerSettings settings, std::string idPrefix, TimePoint startedAt)
@@ -100,38 +100,38 @@
 MemoryLedger::MemoryLedger(MemoryLedger &&) noexcept = default;
 auto MemoryLedger::operator=(MemoryLedger &&) noexcept -> MemoryLedger & = default;
 
-// Whether the status, asked for at `askedAt`, is the final state of an order.
+// Whether the status, asked for at `requestedAt`, is the final state of an order.
 //
 // A status that shows its effect proves that it is done, because an order id takes effect once and nobody else gives orders. One that
 // doesn't show it proves nothing while the order may be on its way: taking it for "lost" would free memory that the late order then
 // takes, and one would notice an engine out of memory. The order is off its way once the engine shows a higher fence than the order's,
 // or once the longest delay lay between the order's sending and the question.
-auto MemoryLedger::Private::settle(const Outstanding &entry, TimePoint askedAt) const -> bool
+auto MemoryLedger::Private::isSettled(const Outstanding &entry, TimePoint requestedAt) const -> bool
 {
     const auto &name = entry.order.artifact;
-    if (entry.order.kind == OrderKind::Load && (holdsOrder(status->loading, entry.order.id) || holds(status->resident, name))) {
+    if (entry.order.kind == OrderKind::Load && (containsOrder(status->loading, entry.order.id) || containsArtifact(status->resident, name))) {
         return true; // the status charges it from here on
     }
     // After a crash the artifact is gone without the unload, which may still arrive at the new engine.
     const bool sameEngine = status->generation == entry.generation;
-    if (entry.order.kind == OrderKind::Unload && sameEngine && !holds(status->resident, name)) {
+    if (entry.order.kind == OrderKind::Unload && sameEngine && !containsArtifact(status->resident, name)) {
         return true;
     }
     if (checksFence() && status->fence > entry.order.fence) {
         return true; // refused from the moment of this status at the latest
     }
-    return askedAt >= entry.sentAt + settings.longestOrderDelay;
+    return requestedAt >= entry.sentAt + settings.longestOrderDelay;
 }
 
-auto MemoryLedger::Private::adopt(TimePoint askedAt) -> void
+auto MemoryLedger::Private::eraseSettledOrders(TimePoint requestedAt) -> void
 {
-    std::erase_if(outstanding, [&](const auto &item) { return settle(item.second, askedAt); });
+    std::erase_if(outstanding, [&](const auto &item) { return isSettled(item.second, requestedAt); });
 }
 
 // A restarted agent has forgotten its orders. Until none of them can take effect, what the status leaves free isn't free.
-auto MemoryLedger::Private::reopen(TimePoint askedAt) -> void
+auto MemoryLedger::Private::tryOpen(TimePoint requestedAt) -> void
 {
-    if (askedAt >= startedAt + settings.longestOrderDelay) {
+    if (requestedAt >= startedAt + settings.longestOrderDelay) {
         open = true;
     }
     if (!checksFence()) {
@@ -149,7 +149,7 @@
     if (!open || !status) {
         return LedgerRefusal::Closed;
     }
-    if (raise) {
+    if (pendingRaise) {
         return LedgerRefusal::FenceUnderWay;
     }
     if (outstanding.contains(artifact)) {
@@ -158,7 +158,7 @@
     return LedgerRefusal::None;
 }
 
-auto MemoryLedger::Private::order(EngineOrder draft, TimePoint now) -> EngineOrder
+auto MemoryLedger::Private::createOrder(EngineOrder draft, TimePoint now) -> EngineOrder
 {
     draft.id = OrderId(idPrefix + "-" + std::to_string(nextId++));
     draft.fence = fence;
@@ -166,7 +166,7 @@
     return draft;
 }
 
-auto MemoryLedger::Private::needsFence(TimePoint now) const -> bool
+auto MemoryLedger::Private::needsFenceRaise(TimePoint now) const -> bool
 {
     if (!checksFence() || !status) {
         return false;
@@ -176,11 +176,11 @@
     }
     return std::any_of(outstanding.begin(), outstanding.end(), [&](const auto &item) {
         const auto &entry = item.second;
-        return entry.order.fence >= fence && now - entry.sentAt >= settings.orderPatience;
+        return entry.order.fence >= fence && now - entry.sentAt >= settings.raiseFenceAfter;
     });
 }
 
-auto MemoryLedger::Private::waitsForStatus() const -> bool
+auto MemoryLedger::Private::needsFrequentStatus() const -> bool
 {
     return !open || !outstanding.empty() || (status && !status->loading.empty());
 }
@@ -217,7 +217,7 @@
         sum += bytesOf(d->status->resident) + bytesOf(d->status->loading);
     }
     for (const auto &[name, entry] : d->outstanding) {
-        if (entry.order.kind == OrderKind::Load && !entry.seen) {
+        if (entry.order.kind == OrderKind::Load && !entry.isInStatus) {
             sum += entry.order.bytes;
         }
     }
@@ -247,7 +247,7 @@
 
 auto MemoryLedger::isResident(const ArtifactName &artifact) const -> bool
 {
-    return d->status && holds(d->status->resident, artifact);
+    return d->status && containsArtifact(d->status->resident, artifact);
 }
 
 auto MemoryLedger::isUsable(const ArtifactName &artifact) const -> bool
@@ -258,7 +258,7 @@
 auto MemoryLedger::isLoading(const ArtifactName &artifact) const -> bool
 {
     const auto found = d->outstanding.find(artifact);
-    return (found != d->outstanding.end() && found->second.order.kind == OrderKind::Load) || (d->status && holds(d->status->loading, artifact));
+    return (found != d->outstanding.end() && found->second.order.kind == OrderKind::Load) || (d->status && containsArtifact(d->status->loading, artifact));
 }
 
 auto MemoryLedger::isUnloading(const ArtifactName &artifact) const -> bool
@@ -276,7 +276,7 @@
     if (isResident(artifact) || isLoading(artifact)) {
         return LedgerRefusal::AlreadyThere;
     }
-    return bytes <= freeBytes() ? LedgerRefusal::None : LedgerRefusal::NoRoom;
+    return bytes <= freeBytes() ? LedgerRefusal::None : LedgerRefusal::NoMemory;
 }
 
 auto MemoryLedger::mayUnload(const ArtifactName &artifact) const -> LedgerRefusal
@@ -295,24 +295,24 @@
 
 auto MemoryLedger::nextAction(TimePoint now) const -> LedgerAction
 {
-    const bool raiseTimedOut = d->raise && now - d->raiseSentAt >= d->settings.answerTimeout;
+    const bool raiseTimedOut = d->pendingRaise && now - d->raiseSentAt >= d->settings.answerTimeout;
     if (raiseTimedOut) {
-        return {LedgerAction::Kind::RaiseFence, *d->raise}; // the same number: whether the first raise arrived doesn't matter
+        return {LedgerAction::Kind::RaiseFence, *d->pendingRaise}; // the same number: whether the first raise arrived doesn't matter
     }
-    if (!d->raise && d->needsFence(now)) {
+    if (!d->pendingRaise && d->needsFenceRaise(now)) {
         return {LedgerAction::Kind::RaiseFence, d->open ? d->fence.next() : *d->openingFence};
     }
-    if (d->question && now - *d->question < d->settings.answerTimeout) {
+    if (d->pendingStatusRequest && now - *d->pendingStatusRequest < d->settings.answerTimeout) {
         return {};
     }
-    const auto period = d->waitsForStatus() ? d->settings.statusPeriod : d->settings.idleStatusPeriod;
-    if (d->question || !d->lastQuestion || now - *d->lastQuestion >= period) {
-        return {LedgerAction::Kind::AskStatus, {}};
+    const auto period = d->needsFrequentStatus() ? d->settings.statusPeriod : d->settings.idleStatusPeriod;
+    if (d->pendingStatusRequest || !d->lastStatusRequest || now - *d->lastStatusRequest >= period) {
+        return {LedgerAction::Kind::RequestStatus, {}};
     }
     return {};
 }
 
-auto MemoryLedger::declare(Duration longestOrderDelay, double kvReserve) -> void
+auto MemoryLedger::updateDeclaration(Duration longestOrderDelay, double kvReserve) -> void
 {
     d->settings.longestOrderDelay = longestOrderDelay;
     d->settings.kvReserve = kvReserve;
@@ -323,7 +323,7 @@
     if (mayLoad(artifact, bytes) != LedgerRefusal::None) {
         return std::nullopt;
     }
-    return d->order({.kind = OrderKind::Load, .artifact = artifact, .base = base, .bytes = bytes}, now);
+    return d->createOrder({.kind = OrderKind::Load, .artifact = artifact, .base = base, .bytes = bytes}, now);
 }
 
 auto MemoryLedger::orderUnload(const ArtifactName &artifact, TimePoint now) -> std::optional<EngineOrder>
@@ -333,7 +333,7 @@
     }
     const auto &resident = d->status->resident;
     const auto found = std::find_if(resident.begin(), resident.end(), [&](const EngineArtifact &entry) { return entry.artifact == artifact; });
-    return d->order({.kind = OrderKind::Unload, .artifact = artifact, .bytes = found->bytes}, now);
+    return d->createOrder({.kind = OrderKind::Unload, .artifact = artifact, .bytes = found->bytes}, now);
 }
 
 auto MemoryLedger::orderAnswered(const OrderId &id, OrderAnswer answer) -> void
@@ -345,52 +345,52 @@
     // Accepted or lost, it stays charged until a status settles it: an accepted order may take effect long after its answer.
 }
 
-auto MemoryLedger::statusAsked(TimePoint now) -> void
+auto MemoryLedger::statusRequested(TimePoint now) -> void
 {
-    d->question = now;
-    d->lastQuestion = now;
+    d->pendingStatusRequest = now;
+    d->lastStatusRequest = now;
 }
 
-auto MemoryLedger::statusReceived(TimePoint askedAt, const EngineStatus &status, TimePoint now) -> void
+auto MemoryLedger::statusReceived(TimePoint requestedAt, const EngineStatus &status, TimePoint now) -> void
 {
-    if (d->question && *d->question <= askedAt) {
-        d->question.reset();
+    if (d->pendingStatusRequest && *d->pendingStatusRequest <= requestedAt) {
+        d->pendingStatusRequest.reset();
     }
     // Of two questions under way at once the later one may be answered with the older truth, and would bring back a past state, with memory
     // free that is taken since. A question sent after the last answer came can't.
-    if (d->status && askedAt < d->statusReceivedAt) {
+    if (d->status && requestedAt < d->statusReceivedAt) {
         return;
     }
     d->status = status;
     d->statusReceivedAt = now;
     d->fence = std::max(d->fence, status.fence);
     if (!d->open) {
-        d->reopen(askedAt);
+        d->tryOpen(requestedAt);
     }
-    d->adopt(askedAt);
+    d->eraseSettledOrders(requestedAt);
     for (auto &[name, entry] : d->outstanding) {
-        entry.seen = holdsOrder(status.loading, entry.order.id);
+        entry.isInStatus = containsOrder(status.loading, entry.order.id);
     }
 }
 
 auto MemoryLedger::fenceSent(Fence fence, TimePoint now) -> void
 {
-    d->raise = fence;
+    d->pendingRaise = fence;
     d->raiseSentAt = now;
 }
 
 auto MemoryLedger::fenceRaised(Fence fence) -> void
 {
     d->fence = std::max(d->fence, fence);
-    d->raise.reset();
-    d->question.reset();
-    d->lastQuestion.reset(); // the truth asked for from now on settles the older orders: ask at once
+    d->pendingRaise.reset();
+    d->pendingStatusRequest.reset();
+    d->lastStatusRequest.reset(); // the truth asked for from now on settles the older orders: ask at once
 }
 
 auto MemoryLedger::fenceUnsupported() -> void
 {
     d->settings.fencing = FencingSupport::Ignored;
-    d->raise.reset();
+    d->pendingRaise.reset();
 }
 
 } // namespace KingCup
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -40,7 +40,7 @@
     Duration statusPeriod = Duration::millis(500); ///< between two questions for the status while orders are outstanding
     Duration idleStatusPeriod = Duration::seconds(2); ///< between two questions otherwise
     Duration answerTimeout = Duration::seconds(2); ///< a status or fence without an answer is asked for again after this
-    Duration orderPatience = Duration::seconds(3); ///< an order without visible effect for this long gets a raised fence
+    Duration raiseFenceAfter = Duration::seconds(3); ///< an order without visible effect for this long gets a raised fence
 };
 
 // [SECTION] Events
@@ -88,13 +88,13 @@
     AlreadyThere, ///< load: resident or loading
     NotThere, ///< unload: not resident
     OrderOutstanding, ///< an order for this artifact may still take effect
-    NoRoom, ///< load: charged + KV reserve + its bytes exceed the memory
+    NoMemory, ///< load: charged + KV reserve + its bytes exceed the memory
 };
 auto toString(LedgerRefusal refusal) -> const char *;
 
 /// What the ledger wants its owner to do next.
 struct LedgerAction {
-    enum class Kind { None, AskStatus, RaiseFence };
+    enum class Kind { None, RequestStatus, RaiseFence };
     Kind kind = Kind::None;
     Fence fence; ///< RaiseFence: the number to raise to
 };
@@ -131,7 +131,7 @@
     auto nextAction(TimePoint now) const -> LedgerAction;
 
     /// A new declaration of the engine. Holds for outstanding orders too.
-    auto declare(Duration longestOrderDelay, double kvReserve) -> void;
+    auto updateDeclaration(Duration longestOrderDelay, double kvReserve) -> void;
 
     // Orders and what comes back: call them before the bytes leave the process, or a crash in between loses an order.
 
@@ -139,9 +139,9 @@
     auto orderLoad(const ArtifactName &artifact, const ArtifactName &base, Bytes bytes, TimePoint now) -> std::optional<EngineOrder>;
     auto orderUnload(const ArtifactName &artifact, TimePoint now) -> std::optional<EngineOrder>;
     auto orderAnswered(const OrderId &id, OrderAnswer answer) -> void;
-    auto statusAsked(TimePoint now) -> void;
-    /// `askedAt`: when the question was sent; `now`: when its answer came.
-    auto statusReceived(TimePoint askedAt, const EngineStatus &status, TimePoint now) -> void;
+    auto statusRequested(TimePoint now) -> void;
+    /// `requestedAt`: when the question was sent; `now`: when its answer came.
+    auto statusReceived(TimePoint requestedAt, const EngineStatus &status, TimePoint now) -> void;
     auto fenceSent(Fence fence, TimePoint now) -> void;
     /// The engine answered POST /fence with `fence`.
     auto fenceRaised(Fence fence) -> void;
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -102,15 +102,15 @@
         known += member.isListed ? 1 : 0;
         missing += member.isListed && !listed.contains(id) ? 1 : 0;
     }
-    const bool doubtful = missing > 0 && static_cast<double>(missing) >= m_options.trustedLoss * static_cast<double>(known);
+    const bool doubtful = missing > 0 && static_cast<double>(missing) >= m_options.distrustedLossShare * static_cast<double>(known);
     if (doubtful && !m_distrustedSince) {
         m_distrustedSince = now;
     }
     if (!doubtful) {
         m_distrustedSince.reset();
     }
-    believe(hosts, now);
-    if (doubtful && now - *m_distrustedSince < m_options.distrustFor) {
+    mergeListed(hosts, now);
+    if (doubtful && now - *m_distrustedSince < m_options.distrustPeriod) {
         return;
     }
     m_distrustedSince.reset();
@@ -119,11 +119,11 @@
     }
 }
 
-auto Membership::believe(const std::vector<ListedHost> &hosts, TimePoint now) -> void
+auto Membership::mergeListed(const std::vector<ListedHost> &hosts, TimePoint now) -> void
 {
     for (const auto &host : hosts) {
-        auto [place, isNew] = m_members.try_emplace(host.id, Member {.host = host, .lastSeen = now});
-        auto &member = place->second;
+        auto [it, isNew] = m_members.try_emplace(host.id, Member {.host = host, .lastSeen = now});
+        auto &member = it->second;
         const bool moved = !isNew && member.host.endpoint != host.endpoint;
         const bool returned = !isNew && member.host.leaving && !host.leaving;
         member.host = host;
@@ -156,7 +156,7 @@
     }
 }
 
-auto Membership::saidStaying(const std::string &id) -> void
+auto Membership::reportedStaying(const std::string &id) -> void
 {
     const auto found = m_members.find(id);
     if (found != m_members.end() && found->second.state == MemberState::Leaving && !found->second.host.leaving) {
@@ -174,20 +174,20 @@
 
 auto Membership::advance(TimePoint now) -> void
 {
-    for (auto place = m_members.begin(); place != m_members.end();) {
-        auto &member = place->second;
+    for (auto it = m_members.begin(); it != m_members.end();) {
+        auto &member = it->second;
         const auto silent = now - member.lastSeen;
         if (!member.isListed && silent > m_options.forgetAfter) {
-            place = m_members.erase(place);
+            it = m_members.erase(it);
             continue;
         }
-        const bool wasThere = member.state == MemberState::Live || member.state == MemberState::Suspect;
-        if (wasThere && silent > m_options.deadAfter) {
+        const bool wasPresent = member.state == MemberState::Live || member.state == MemberState::Suspect;
+        if (wasPresent && silent > m_options.deadAfter) {
             member.state = MemberState::Dead;
         } else if (member.state == MemberState::Live && silent > m_options.suspectAfter) {
             member.state = MemberState::Suspect;
         }
-        ++place;
+        ++it;
     }
 }
 
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -60,8 +60,8 @@
     Duration suspectAfter = Duration::seconds(1.5); ///< three heartbeats missed
     Duration deadAfter = Duration::seconds(5);
     Duration forgetAfter = Duration::seconds(300); ///< neither listed nor seen
-    double trustedLoss = 0.5; ///< a list that drops this share or more of the members at once isn't believed...
-    Duration distrustFor = Duration::seconds(60); ///< ...until it has said so for this long
+    double distrustedLossShare = 0.5; ///< a list that drops this share or more of the members at once isn't believed...
+    Duration distrustPeriod = Duration::seconds(60); ///< ...until it has said so for this long
 };
 
 class Membership
@@ -81,12 +81,12 @@
     auto listReceived(const std::vector<ListedHost> &hosts, TimePoint now) -> void;
     auto seen(const std::string &id, TimePoint now) -> void; ///< a heartbeat or any message
     auto reportedLeaving(const std::string &id) -> void;
-    auto saidStaying(const std::string &id) -> void; ///< its drain was undone, or a new process took the place; the list's mark stands
+    auto reportedStaying(const std::string &id) -> void; ///< its drain was undone, or a new process took the place; the list's mark stands
     auto connectionLost(const std::string &id) -> void; ///< suspect at once
     auto advance(TimePoint now) -> void; ///< lets silence have its effect; call a few times a second
 
 private:
-    auto believe(const std::vector<ListedHost> &hosts, TimePoint now) -> void;
+    auto mergeListed(const std::vector<ListedHost> &hosts, TimePoint now) -> void;
 
     MembershipOptions m_options;
     std::map<std::string, Member> m_members;
--- a/src/core/orderlease.cpp
+++ b/src/core/orderlease.cpp
@@ -12,19 +12,19 @@
 namespace
 {
 
-constexpr std::size_t MostRemembered = 256; ///< own writes and digests
+constexpr std::size_t MaxRemembered = 256; ///< own writes and digests
 
 /// Spreads the gateways' tries: the same for one start of a gateway.
-auto staggerOf(const HolderName &self, Duration most) -> Duration
+auto staggerDelay(const HolderName &self, Duration range) -> Duration
 {
-    constexpr std::uint64_t Steps = 16;
-    return most * (static_cast<double>(stableHash(self.text()) % Steps) / Steps);
+    constexpr std::uint64_t StaggerSteps = 16;
+    return range * (static_cast<double>(stableHash(self.text()) % StaggerSteps) / StaggerSteps);
 }
 
 template<typename Value>
 auto trim(std::map<std::uint64_t, Value> &byNumber) -> void
 {
-    while (byNumber.size() > MostRemembered) {
+    while (byNumber.size() > MaxRemembered) {
         byNumber.erase(byNumber.begin());
     }
 }
@@ -53,12 +53,12 @@
 
 } // namespace
 
-auto hostOf(const HolderName &holder) -> std::string
+auto gatewayIdOf(const HolderName &holder) -> std::string
 {
     return holder.text().substr(0, holder.text().rfind('#'));
 }
 
-auto chooseLeaseCandidates(std::vector<LeaseMember> alive, std::size_t most) -> std::vector<EntryId>
+auto chooseLeaseCandidates(std::vector<LeaseMember> alive, std::size_t count) -> std::vector<EntryId>
 {
     const auto isBefore = [](const LeaseMember &a, const LeaseMember &b) {
         const auto rank = [](const LeaseMember &member) {
@@ -72,7 +72,7 @@
     for (const bool isNewZone : {true, false}) {
         for (const auto &member : alive) {
             const bool isChosen = std::find(chosen.begin(), chosen.end(), member.id) != chosen.end();
-            if (chosen.size() < most && !isChosen && (!isNewZone || zones.insert(member.zone).second)) {
+            if (chosen.size() < count && !isChosen && (!isNewZone || zones.insert(member.zone).second)) {
                 chosen.push_back(member.id);
             }
         }
@@ -84,7 +84,7 @@
     : m_self(std::move(self))
     , m_options(options)
     , m_startedAt(startedAt)
-    , m_nextTry(startedAt + staggerOf(m_self, options.stagger))
+    , m_nextAttempt(startedAt + staggerDelay(m_self, options.stagger))
     , m_holderSeenAt(startedAt)
 {
 }
@@ -122,17 +122,17 @@
 /// When the digest left that this peer has confirmed last; none if there is none.
 auto OrderLease::confirmedAt(const EntryId &peer) const -> std::optional<TimePoint>
 {
-    const auto known = m_peers.find(peer);
-    const auto sent = known == m_peers.end() ? m_digests.end() : m_digests.find(known->second);
-    return sent == m_digests.end() ? std::nullopt : std::optional(sent->second);
+    const auto known = m_confirmedDigests.find(peer);
+    const auto sent = known == m_confirmedDigests.end() ? m_digestSentAt.end() : m_digestSentAt.find(known->second);
+    return sent == m_digestSentAt.end() ? std::nullopt : std::optional(sent->second);
 }
 
 auto OrderLease::confirmedByAll() const -> std::optional<TimePoint>
 {
     std::optional<TimePoint> oldest;
-    for (const auto &[peer, sequence] : m_peers) {
-        const auto sent = m_digests.find(sequence);
-        if (sent == m_digests.end()) {
+    for (const auto &[peer, sequence] : m_confirmedDigests) {
+        const auto sent = m_digestSentAt.find(sequence);
+        if (sent == m_digestSentAt.end()) {
             return std::nullopt;
         }
         oldest = std::min(oldest.value_or(sent->second), sent->second);
@@ -142,7 +142,7 @@
 
 auto OrderLease::confirmedByCandidates() const -> std::optional<TimePoint>
 {
-    const auto candidates = needed();
+    const auto candidates = requiredConfirmers();
     std::optional<TimePoint> oldest;
     for (const auto &peer : candidates.value_or(std::set<EntryId>())) {
         const auto confirmed = confirmedAt(peer);
@@ -155,10 +155,10 @@
 }
 
 /// Candidates by the row, whichever of the writes since the last certain one it shows; none if all gateways are.
-auto OrderLease::needed() const -> std::optional<std::set<EntryId>>
+auto OrderLease::requiredConfirmers() const -> std::optional<std::set<EntryId>>
 {
-    auto all = m_ignoreCandidates;
-    for (auto write = m_writes.lower_bound(m_effectiveWrite); write != m_writes.end(); ++write) {
+    auto all = m_peersIgnoringCandidates;
+    for (auto write = m_writes.lower_bound(m_lastEffectiveWrite); write != m_writes.end(); ++write) {
         const auto &candidates = write->second.candidates;
         if (candidates.empty()) {
             return std::nullopt;
@@ -170,7 +170,7 @@
 
 auto OrderLease::validUntil() const -> TimePoint
 {
-    const auto latestByCandidates = m_renewedAt + m_options.longWait - m_options.duration;
+    const auto latestByCandidates = m_renewedAt + m_options.nonCandidateWait - m_options.duration;
     const auto byCandidates = std::min(confirmedByCandidates().value_or(m_renewedAt), latestByCandidates);
     const auto from = std::max({m_renewedAt, confirmedByAll().value_or(m_renewedAt), byCandidates});
     return from + m_options.duration - m_options.margin;
@@ -178,7 +178,7 @@
 
 auto OrderLease::nextStep(TimePoint now) const -> LeaseStep
 {
-    if (m_underWay || now < m_nextTry) {
+    if (m_isRequestInFlight || now < m_nextAttempt) {
         return LeaseStep::None;
     }
     if (m_holds) {
@@ -190,16 +190,16 @@
     if (!m_mustRead) {
         return LeaseStep::Write;
     }
-    const bool isHolderSilent = now - m_holderSeenAt >= m_options.silence;
+    const bool isHolderSilent = now - m_holderSeenAt >= m_options.holderSilence;
     return isHolderSilent || !m_isRowKnown ? LeaseStep::Read : LeaseStep::None;
 }
 
 auto OrderLease::readStarted(TimePoint /*now*/) -> void
 {
-    m_underWay = true;
+    m_isRequestInFlight = true;
 }
 
-auto OrderLease::valueOf(std::uint64_t number) const -> std::string
+auto OrderLease::rowValue(std::uint64_t number) const -> std::string
 {
     auto value = m_self.text() + " " + std::to_string(number);
     for (std::size_t i = 0; i < m_candidates.size(); ++i) {
@@ -210,15 +210,15 @@
 
 auto OrderLease::rowRead(RowVersion version, const std::string &value, TimePoint now) -> void
 {
-    m_underWay = false;
+    m_isRequestInFlight = false;
     m_mustRead = false;
     m_isRowKnown = true;
     if (version != m_version) {
         m_version = version;
-        m_seenSince = now;
+        m_versionSeenAt = now;
     }
     const auto row = readLeaseRow(value);
-    m_isCandidate = row.candidates.empty() || row.candidates.contains(hostOf(m_self));
+    m_isCandidate = row.candidates.empty() || row.candidates.contains(gatewayIdOf(m_self));
     if (row.writer == m_self) {
         // A write of ours whose answer was lost has taken effect; its time counts from when it left.
         const auto sent = m_writes.find(row.number);
@@ -232,7 +232,7 @@
         m_holds = true;
         m_holder = m_self;
         m_renewedAt = std::max(m_renewedAt, sent->second.sentAt);
-        m_effectiveWrite = std::max(m_effectiveWrite, row.number);
+        m_lastEffectiveWrite = std::max(m_lastEffectiveWrite, row.number);
         return;
     }
     if (m_holds) {
@@ -242,38 +242,38 @@
         return; // nobody has it: write
     }
     m_holder = row.writer;
-    const auto until = waitUntil();
+    const auto until = takeoverAllowedAt();
     if (now < until) {
         m_mustRead = true; // once more at the end, to see whether it is still the same
-        m_nextTry = std::min(until, now + m_options.duration); // a newer row may name this gateway a candidate
+        m_nextAttempt = std::min(until, now + m_options.duration); // a newer row may name this gateway a candidate
     }
 }
 
 /// From when on the row may be taken from the one that wrote it.
-auto OrderLease::waitUntil() const -> TimePoint
+auto OrderLease::takeoverAllowedAt() const -> TimePoint
 {
-    if (hostOf(m_holder) == hostOf(m_self)) {
+    if (gatewayIdOf(m_holder) == gatewayIdOf(m_self)) {
         return m_startedAt + m_options.margin;
     }
-    const auto asCandidate = std::max(m_seenSince, m_holderSeenAt) + m_options.duration;
-    return m_isCandidate ? asCandidate : std::max(asCandidate, m_seenSince + m_options.longWait);
+    const auto asCandidate = std::max(m_versionSeenAt, m_holderSeenAt) + m_options.duration;
+    return m_isCandidate ? asCandidate : std::max(asCandidate, m_versionSeenAt + m_options.nonCandidateWait);
 }
 
 auto OrderLease::writeStarted(TimePoint now) -> LeaseWrite
 {
-    m_underWay = true;
+    m_isRequestInFlight = true;
     m_writes[++m_lastWrite] = {now, m_candidates};
     trim(m_writes);
-    return {m_version, valueOf(m_lastWrite)};
+    return {m_version, rowValue(m_lastWrite)};
 }
 
-auto OrderLease::written(RowVersion version, TimePoint now) -> void
+auto OrderLease::writeCommitted(RowVersion version, TimePoint now) -> void
 {
-    m_underWay = false;
+    m_isRequestInFlight = false;
     m_version = version;
-    m_seenSince = now;
+    m_versionSeenAt = now;
     m_renewedAt = std::max(m_renewedAt, m_writes[m_lastWrite].sentAt);
-    m_effectiveWrite = m_lastWrite;
+    m_lastEffectiveWrite = m_lastWrite;
     if (!m_holds) {
         // The fence stays for the tenure: orders of one holder with different numbers could overtake each other.
         m_holds = true;
@@ -284,21 +284,21 @@
 
 auto OrderLease::writeRefused(TimePoint now) -> void
 {
-    writeUnclear(now);
+    writeOutcomeUnknown(now);
 }
 
-auto OrderLease::writeUnclear(TimePoint now) -> void
+auto OrderLease::writeOutcomeUnknown(TimePoint now) -> void
 {
-    m_underWay = false;
+    m_isRequestInFlight = false;
     m_mustRead = true;
-    m_nextTry = now + m_options.retryAfter;
+    m_nextAttempt = now + m_options.retryAfter;
 }
 
 auto OrderLease::readFailed(TimePoint now) -> void
 {
-    m_underWay = false;
+    m_isRequestInFlight = false;
     m_mustRead = true;
-    m_nextTry = now + m_options.retryAfter;
+    m_nextAttempt = now + m_options.retryAfter;
 }
 
 auto OrderLease::lose() -> void
@@ -317,7 +317,7 @@
     m_holderSeenAt = now;
     if (!m_holds && version > m_version) {
         m_version = version;
-        m_seenSince = now;
+        m_versionSeenAt = now;
         m_isRowKnown = true;
         // A write that was decided on the version before would now be accepted, though its holder has renewed the lease.
         m_mustRead = true;
@@ -326,8 +326,8 @@
 
 auto OrderLease::digestSent(std::uint64_t sequence, TimePoint now) -> void
 {
-    m_digests[sequence] = now;
-    trim(m_digests);
+    m_digestSentAt[sequence] = now;
+    trim(m_digestSentAt);
 }
 
 auto OrderLease::peerConfirmed(const EntryId &peer, std::uint64_t sequence, TimePoint now) -> void
@@ -335,8 +335,8 @@
     if (m_holds && !mayOrder(now)) {
         return;
     }
-    const auto found = m_peers.find(peer);
-    if (found != m_peers.end()) {
+    const auto found = m_confirmedDigests.find(peer);
+    if (found != m_confirmedDigests.end()) {
         found->second = std::max(found->second, sequence);
     }
 }
@@ -348,15 +348,15 @@
 
 auto OrderLease::peerIgnoresCandidates(const EntryId &peer) -> void
 {
-    m_ignoreCandidates.insert(peer);
+    m_peersIgnoringCandidates.insert(peer);
 }
 
 auto OrderLease::setPeers(const std::set<EntryId> &peers) -> void
 {
-    std::erase_if(m_peers, [&](const auto &known) { return !peers.contains(known.first); });
-    std::erase_if(m_ignoreCandidates, [&](const auto &known) { return !peers.contains(known); });
+    std::erase_if(m_confirmedDigests, [&](const auto &known) { return !peers.contains(known.first); });
+    std::erase_if(m_peersIgnoringCandidates, [&](const auto &known) { return !peers.contains(known); });
     for (const auto &peer : peers) {
-        m_peers.try_emplace(peer, 0);
+        m_confirmedDigests.try_emplace(peer, 0);
     }
 }
 
--- a/src/core/orderlease.h
+++ b/src/core/orderlease.h
@@ -42,7 +42,7 @@
 };
 
 /// Gateways with much processor time first, one of each availability zone before a second one. All gateways rank them alike.
-auto chooseLeaseCandidates(std::vector<LeaseMember> alive, std::size_t most) -> std::vector<EntryId>;
+auto chooseLeaseCandidates(std::vector<LeaseMember> alive, std::size_t count) -> std::vector<EntryId>;
 
 // [SECTION] Steps
 
@@ -50,7 +50,7 @@
 using HolderName = StrongName<struct HolderNameTag>;
 
 /// "ID" of it.
-auto hostOf(const HolderName &holder) -> std::string;
+auto gatewayIdOf(const HolderName &holder) -> std::string;
 
 enum class LeaseStep {
     None,
@@ -69,8 +69,8 @@
     Duration renewAfter = Duration::millis(1200); ///< two more tries fit into the rest of a lease of 3 s
     Duration retryAfter = Duration::millis(300); ///< between tries that failed
     Duration stagger = Duration::millis(400); ///< gateways that want the row spread their tries over this
-    Duration longWait = Duration::seconds(12); ///< for an unchanged row, of a gateway that is no candidate; four times the duration
-    Duration silence = Duration::seconds(1); ///< without a digest of the holder before the row is looked at: five of its digests
+    Duration nonCandidateWait = Duration::seconds(12); ///< for an unchanged row, of a gateway that is no candidate; four times the duration
+    Duration holderSilence = Duration::seconds(1); ///< without a digest of the holder before the row is looked at: five of its digests
 };
 
 // [SECTION] OrderLease
@@ -93,9 +93,9 @@
     auto readStarted(TimePoint now) -> void;
     auto rowRead(RowVersion version, const std::string &value, TimePoint now) -> void; ///< version 0: there is no row
     auto writeStarted(TimePoint now) -> LeaseWrite;
-    auto written(RowVersion version, TimePoint now) -> void;
+    auto writeCommitted(RowVersion version, TimePoint now) -> void;
     auto writeRefused(TimePoint now) -> void; ///< certainly without effect, or another version stands there: reads next
-    auto writeUnclear(TimePoint now) -> void; ///< reads next, to see
+    auto writeOutcomeUnknown(TimePoint now) -> void; ///< reads next, to see
     auto readFailed(TimePoint now) -> void;
 
     // Commands: other gateways
@@ -123,10 +123,10 @@
     auto confirmedAt(const EntryId &peer) const -> std::optional<TimePoint>;
     auto confirmedByAll() const -> std::optional<TimePoint>; ///< when the oldest of the digests left that each has confirmed last
     auto confirmedByCandidates() const -> std::optional<TimePoint>; ///< likewise; none also if all gateways are candidates
-    auto needed() const -> std::optional<std::set<EntryId>>;
-    auto waitUntil() const -> TimePoint;
+    auto requiredConfirmers() const -> std::optional<std::set<EntryId>>;
+    auto takeoverAllowedAt() const -> TimePoint;
     auto lose() -> void;
-    auto valueOf(std::uint64_t number) const -> std::string;
+    auto rowValue(std::uint64_t number) const -> std::string;
 
     HolderName m_self;
     OrderLeaseOptions m_options;
@@ -134,23 +134,23 @@
     bool m_holds = false;
     Fence m_fence;
     RowVersion m_version; ///< of the row as last seen
-    TimePoint m_seenSince; ///< since when it has that version, by own sight
+    TimePoint m_versionSeenAt; ///< since when it has that version, by own sight
     bool m_isRowKnown = false;
     bool m_mustRead = true;
-    bool m_underWay = false;
-    TimePoint m_nextTry;
+    bool m_isRequestInFlight = false;
+    TimePoint m_nextAttempt;
     TimePoint m_renewedAt; ///< when the last write that took effect left
     std::map<std::uint64_t, Write> m_writes; ///< by number
     std::uint64_t m_lastWrite = 0;
-    std::uint64_t m_effectiveWrite = 0; ///< the last one that is known to have taken effect
+    std::uint64_t m_lastEffectiveWrite = 0; ///< the last one that is known to have taken effect
     std::vector<EntryId> m_candidates; ///< for the next write
-    std::set<EntryId> m_ignoreCandidates; ///< peers
+    std::set<EntryId> m_peersIgnoringCandidates; ///< peers
     bool m_isCandidate = true; ///< by the row as last read
     HolderName m_holder;
     std::uint64_t m_holderSequence = 0;
     TimePoint m_holderSeenAt;
-    std::map<std::uint64_t, TimePoint> m_digests; ///< own ones, when each left
-    std::map<EntryId, std::uint64_t> m_peers; ///< the last own digest that each has received; 0: none
+    std::map<std::uint64_t, TimePoint> m_digestSentAt; ///< own ones, when each left
+    std::map<EntryId, std::uint64_t> m_confirmedDigests; ///< the last own digest that each has received; 0: none
 };
 
 } // namespace KingCup
--- a/src/core/peerloads.cpp
+++ b/src/core/peerloads.cpp
@@ -104,7 +104,7 @@
 
 auto PeerLoads::gatewayGone(const EntryId &entry) -> void
 {
-    std::erase_if(m_reports, [&](const auto &report) { return report.first == entry || hostOf(HolderName(report.first.text())) == entry.text(); });
+    std::erase_if(m_reports, [&](const auto &report) { return report.first == entry || gatewayIdOf(HolderName(report.first.text())) == entry.text(); });
 }
 
 } // namespace KingCup
--- a/src/core/residency.cpp
+++ b/src/core/residency.cpp
@@ -46,7 +46,7 @@
         if (baseMissing) {
             continue; // its base is a want of its own
         }
-        if (m_ledger.mayLoad(want.name, want.bytes) != LedgerRefusal::NoRoom) {
+        if (m_ledger.mayLoad(want.name, want.bytes) != LedgerRefusal::NoMemory) {
             if (auto order = load(want)) {
                 return order;
             }
--- a/src/core/rowmirror.cpp
+++ b/src/core/rowmirror.cpp
@@ -44,27 +44,27 @@
     return m_checksum;
 }
 
-auto RowMirror::put(StoredRow &into, const StoredRow &row) -> void
+auto RowMirror::replaceRow(StoredRow &into, const StoredRow &row) -> void
 {
     m_checksum ^= hashOf(into) ^ hashOf(row);
     into = row;
 }
 
-auto RowMirror::take(const StoredRow &row) -> bool
+auto RowMirror::applyRow(const StoredRow &row) -> bool
 {
     auto &known = m_rows[row.key];
     if (row.version <= known.version) {
         return false;
     }
-    put(known, row);
+    replaceRow(known, row);
     m_version = std::max(m_version, row.version);
     return true;
 }
 
-auto RowMirror::takeTable(const std::vector<StoredRow> &rows, RowVersion upTo) -> std::vector<StoredRow>
+auto RowMirror::applySnapshot(const std::vector<StoredRow> &rows, RowVersion upTo) -> std::vector<StoredRow>
 {
     m_isLoaded = true;
-    auto news = takeChanges(rows);
+    auto changed = applyChanges(rows);
     std::set<std::string> present;
     for (const auto &row : rows) {
         present.insert(row.key);
@@ -75,21 +75,21 @@
             continue;
         }
         // When it was removed isn't known, only that it was by then; a row that is made anew is newer than that.
-        put(row, {key, upTo, "", true});
-        news.push_back(row);
+        replaceRow(row, {key, upTo, "", true});
+        changed.push_back(row);
     }
-    return news;
+    return changed;
 }
 
-auto RowMirror::takeChanges(const std::vector<StoredRow> &rows) -> std::vector<StoredRow>
+auto RowMirror::applyChanges(const std::vector<StoredRow> &rows) -> std::vector<StoredRow>
 {
-    std::vector<StoredRow> news;
+    std::vector<StoredRow> changed;
     for (const auto &row : rows) {
-        if (take(row)) {
-            news.push_back(row);
+        if (applyRow(row)) {
+            changed.push_back(row);
         }
     }
-    return news;
+    return changed;
 }
 
 } // namespace KingCup
--- a/src/core/rowmirror.h
+++ b/src/core/rowmirror.h
@@ -29,13 +29,13 @@
     auto rows() const -> std::vector<StoredRow>; ///< those that exist, in key order
 
     /// The whole table as of `upTo`: what isn't in it was removed by then. Returns what that changes.
-    auto takeTable(const std::vector<StoredRow> &rows, RowVersion upTo) -> std::vector<StoredRow>;
+    auto applySnapshot(const std::vector<StoredRow> &rows, RowVersion upTo) -> std::vector<StoredRow>;
     /// Rows that were changed or removed. Returns those that are news.
-    auto takeChanges(const std::vector<StoredRow> &rows) -> std::vector<StoredRow>;
+    auto applyChanges(const std::vector<StoredRow> &rows) -> std::vector<StoredRow>;
 
 private:
-    auto take(const StoredRow &row) -> bool;
-    auto put(StoredRow &into, const StoredRow &row) -> void;
+    auto applyRow(const StoredRow &row) -> bool;
+    auto replaceRow(StoredRow &into, const StoredRow &row) -> void;
 
     std::map<std::string, StoredRow> m_rows; ///< removed ones too: an older message about them must not bring them back
     RowVersion m_version;
--- a/src/core/runonce.cpp
+++ b/src/core/runonce.cpp
@@ -15,7 +15,7 @@
 enum class Phase {
     Claiming, ///< the claim's write is pending or sent
     Checking, ///< the row exists; being read
-    Elsewhere, ///< another attempt has claimed it; read again now and then
+    ClaimedElsewhere, ///< another attempt has claimed it; read again now and then
     Running, ///< ours, forwarded
     Recording, ///< ours, answered; the record's write is pending or sent
     Releasing, ///< ours, not run; the release's write is pending or sent
@@ -26,19 +26,19 @@
 struct KeyEntry {
     Phase phase = Phase::Claiming;
     std::deque<RunOnceSend> waiting;
-    std::optional<SendId> runner; ///< Running: the send that was forwarded
+    std::optional<SendId> forwardedSend; ///< Running: the send that was forwarded
     AttemptId attempt; ///< of our claim
     RowVersion version; ///< Claiming: what the claim expects; later, of our claim's row
     std::int64_t keepUntilMs = 0;
     bool inFlight = false; ///< Claiming: in a transaction without an answer yet
-    bool lostOnce = false; ///< Claiming: sent, and the answer was lost
+    bool wasLost = false; ///< Claiming: sent, and the answer was lost
     std::optional<TimePoint> readAt; ///< Checking and Elsewhere: when to read the row
     bool readSent = false;
     std::optional<RunRecord> record; ///< Recording and Remembered; none there: unknown
 
     auto maybeWritten() const -> bool
     {
-        return inFlight || lostOnce;
+        return inFlight || wasLost;
     }
 };
 
@@ -51,9 +51,9 @@
     return sum;
 }
 
-auto bounded(const RunRecord &record, std::size_t most) -> RunRecord
+auto limitRecord(const RunRecord &record, std::size_t maxBytes) -> RunRecord
 {
-    if (recordBytes(record) <= most) {
+    if (recordBytes(record) <= maxBytes) {
         return record;
     }
     return RunRecord {.status = record.status, .headers = {}, .body = {}, .isWhole = false};
@@ -66,8 +66,8 @@
         : settings(givenSettings)
         , claimant(std::move(givenClaimant))
         , queue(CommitSettings {.writesPerSecond = givenSettings.writesPerSecond,
-                                .minWritesPerSecond = givenSettings.leastWritesPerSecond,
-                                .maxWritesPerSecond = givenSettings.mostWritesPerSecond,
+                                .minWritesPerSecond = givenSettings.minWritesPerSecond,
+                                .maxWritesPerSecond = givenSettings.maxWritesPerSecond,
                                 .batchesInFlight = givenSettings.batchesInFlight,
                                 .retryDelay = givenSettings.retryDelay})
     {
@@ -87,20 +87,20 @@
     std::multimap<TimePoint, std::string> readHints;
     RunOnceActions actions; ///< of the event being handled
 
-    auto finish(TimePoint now) -> RunOnceActions;
+    auto takeActions(TimePoint now) -> RunOnceActions;
     auto startClaim(const std::string &row, KeyEntry &entry, RowVersion expect, TimePoint now) -> void;
     auto claimed(const std::string &row, KeyEntry &entry, RowVersion version, TimePoint now) -> void;
     auto forwardNext(const std::string &row, KeyEntry &entry, TimePoint now) -> void;
     auto release(const std::string &row, KeyEntry &entry, TimePoint now) -> void;
     auto released(const std::string &row, KeyEntry &entry, TimePoint now) -> void;
-    auto remember(const std::string &row, KeyEntry &entry) -> void;
+    auto keepInMemory(const std::string &row, KeyEntry &entry) -> void;
     auto dropRow(const std::string &row) -> void;
-    auto answered(const std::vector<std::string> &rows) -> void;
+    auto clearInFlight(const std::vector<std::string> &rows) -> void;
     auto committed(const std::string &row, RowVersion version, TimePoint now) -> void;
     auto conflicted(const std::string &row, TimePoint now) -> void;
     auto refused(const std::string &row) -> void;
     auto lost(const std::string &row) -> void;
-    auto rowSeen(const std::string &row, KeyEntry &entry, const TableRow *found, TimePoint now) -> void;
+    auto rowRead(const std::string &row, KeyEntry &entry, const TableRow *found, TimePoint now) -> void;
     auto answerAll(KeyEntry &entry) -> void;
     auto answerNotRunAll(KeyEntry &entry, const std::string &code) -> void;
     auto expire(const std::string &row, KeyEntry &entry, TimePoint now) -> void;
@@ -150,7 +150,7 @@
         actions.emplace_back(AnswerNotRun {send, "store-unavailable"});
     } else if (entry.phase == Phase::Running) {
         actions.emplace_back(AnswerUnknown {send, "running"});
-    } else if (entry.phase == Phase::Elsewhere) {
+    } else if (entry.phase == Phase::ClaimedElsewhere) {
         actions.emplace_back(AnswerUnknown {send, "claimed-elsewhere"});
     } else {
         actions.emplace_back(AnswerUnknown {send, "claim-unresolved"});
@@ -174,7 +174,7 @@
     if (unsentClaim) {
         queue.remove(row);
         dropRow(row);
-    } else if (entry.phase == Phase::Elsewhere && !entry.readSent) {
+    } else if (entry.phase == Phase::ClaimedElsewhere && !entry.readSent) {
         dropRow(row);
     }
 }
@@ -186,7 +186,7 @@
     entry.phase = Phase::Claiming;
     entry.version = expect;
     entry.inFlight = false;
-    entry.lostOnce = false;
+    entry.wasLost = false;
     entry.readAt.reset();
     entry.attempt = AttemptId(claimant + "-" + std::to_string(++attempts));
     const ClaimRow claim {.attempt = entry.attempt, .state = ClaimState::Claimed, .keepUntilMs = entry.keepUntilMs, .record = std::nullopt};
@@ -212,7 +212,7 @@
             continue;
         }
         entry.phase = Phase::Running;
-        entry.runner = send.send;
+        entry.forwardedSend = send.send;
         actions.emplace_back(ForwardSend {send.send, entry.attempt});
         return;
     }
@@ -223,7 +223,7 @@
 auto RunOnce::Private::release(const std::string &row, KeyEntry &entry, TimePoint now) -> void
 {
     entry.phase = Phase::Releasing;
-    entry.runner.reset();
+    entry.forwardedSend.reset();
     const ClaimRow claim {.attempt = entry.attempt, .state = ClaimState::Released, .keepUntilMs = entry.keepUntilMs, .record = std::nullopt};
     queue.add({TableOp::Kind::Put, row, entry.version, serializeClaimRow(claim)}, CommitUrgency::Background, now);
 }
@@ -237,10 +237,10 @@
     startClaim(row, entry, RowVersion(), now);
 }
 
-auto RunOnce::Private::remember(const std::string &row, KeyEntry &entry) -> void
+auto RunOnce::Private::keepInMemory(const std::string &row, KeyEntry &entry) -> void
 {
     entry.phase = Phase::Remembered;
-    entry.runner.reset();
+    entry.forwardedSend.reset();
     entry.readAt.reset();
     remembered.push_back(row);
     if (remembered.size() > settings.maxRemembered) {
@@ -257,7 +257,7 @@
 
 // ---- writes
 
-auto RunOnce::Private::answered(const std::vector<std::string> &rows) -> void
+auto RunOnce::Private::clearInFlight(const std::vector<std::string> &rows) -> void
 {
     for (const auto &row : rows) {
         const auto found = keys.find(row);
@@ -277,7 +277,7 @@
     if (entry.phase == Phase::Claiming) {
         claimed(row, entry, version, now);
     } else if (entry.phase == Phase::Recording) {
-        remember(row, entry);
+        keepInMemory(row, entry);
     } else if (entry.phase == Phase::Releasing) {
         released(row, entry, now);
     }
@@ -294,7 +294,7 @@
         entry.phase = Phase::Checking;
         scheduleRead(row, entry, now);
     } else if (entry.phase == Phase::Recording) {
-        remember(row, entry); // an earlier try of this write took effect, its answer was lost
+        keepInMemory(row, entry); // an earlier try of this write took effect, its answer was lost
     } else if (entry.phase == Phase::Releasing) {
         released(row, entry, now); // likewise
     }
@@ -304,7 +304,7 @@
 auto RunOnce::Private::refused(const std::string &row) -> void
 {
     const auto found = keys.find(row);
-    if (found == keys.end() || found->second.phase != Phase::Claiming || found->second.lostOnce) {
+    if (found == keys.end() || found->second.phase != Phase::Claiming || found->second.wasLost) {
         return;
     }
     answerNotRunAll(found->second, "store-unavailable");
@@ -316,7 +316,7 @@
 {
     const auto found = keys.find(row);
     if (found != keys.end() && found->second.phase == Phase::Claiming) {
-        found->second.lostOnce = true;
+        found->second.wasLost = true;
     }
 }
 
@@ -324,7 +324,7 @@
 {
     const auto settled = d->queue.done(batch, result, now);
     for (const auto *group : {&settled.committed, &settled.conflicted, &settled.lost, &settled.unavailable, &settled.notApplied}) {
-        d->answered(*group);
+        d->clearInFlight(*group);
     }
     for (const auto &key : settled.committed) {
         d->committed(key, result.version, now);
@@ -338,12 +338,12 @@
     for (const auto &key : settled.unavailable) {
         d->refused(key);
     }
-    return d->finish(now);
+    return d->takeActions(now);
 }
 
 // ---- reads
 
-auto RunOnce::Private::rowSeen(const std::string &row, KeyEntry &entry, const TableRow *found, TimePoint now) -> void
+auto RunOnce::Private::rowRead(const std::string &row, KeyEntry &entry, const TableRow *found, TimePoint now) -> void
 {
     const auto claim = found ? parseClaimRow(found->value) : std::nullopt;
     const bool ours = claim && entry.phase == Phase::Checking && claim->attempt == entry.attempt;
@@ -366,10 +366,10 @@
     if (claim && claim->state == ClaimState::Done && claim->record) {
         entry.record = claim->record;
         answerAll(entry);
-        remember(row, entry);
+        keepInMemory(row, entry);
         return;
     }
-    entry.phase = Phase::Elsewhere;
+    entry.phase = Phase::ClaimedElsewhere;
     scheduleRead(row, entry, now + settings.pollPeriod);
     expire(row, entry, now);
 }
@@ -394,9 +394,9 @@
             continue;
         }
         const auto row = std::find_if(rows->begin(), rows->end(), [&](const TableRow &candidate) { return candidate.key == key; });
-        d->rowSeen(key, entry->second, row == rows->end() ? nullptr : &*row, now);
+        d->rowRead(key, entry->second, row == rows->end() ? nullptr : &*row, now);
     }
-    return d->finish(now);
+    return d->takeActions(now);
 }
 
 auto RunOnce::Private::scheduleRead(const std::string &row, KeyEntry &entry, TimePoint when) -> void
@@ -428,27 +428,27 @@
 
 // ---- sends
 
-auto RunOnce::arrive(const RunOnceSend &send, TimePoint now) -> RunOnceActions
+auto RunOnce::submit(const RunOnceSend &send, TimePoint now) -> RunOnceActions
 {
     const auto row = claimRowKey(send.key);
     const bool known = d->keys.contains(row);
     if (!known && openKeys() >= d->settings.maxOpenKeys) {
         d->actions.emplace_back(AnswerNotRun {send.send, "overloaded"});
-        return d->finish(now);
+        return d->takeActions(now);
     }
     auto &entry = d->keys[row];
     entry.waiting.push_back(send);
     entry.keepUntilMs = std::max(entry.keepUntilMs, send.keepUntilMs);
     if (entry.phase == Phase::Recording || entry.phase == Phase::Remembered) {
         d->answerAll(entry);
-        return d->finish(now);
+        return d->takeActions(now);
     }
     d->rowOf[send.send] = row;
     d->deadlineHints.emplace(send.deadline, row);
     if (!known) {
         d->startClaim(row, entry, RowVersion(), now);
     }
-    return d->finish(now);
+    return d->takeActions(now);
 }
 
 auto RunOnce::cancel(SendId send, TimePoint now) -> RunOnceActions
@@ -459,40 +459,40 @@
     }
     const auto row = found->second;
     auto &entry = d->keys.at(row);
-    if (entry.runner == send) {
+    if (entry.forwardedSend == send) {
         return {};
     }
     d->rowOf.erase(found);
     std::erase_if(entry.waiting, [&](const RunOnceSend &candidate) { return candidate.send == send; });
     d->expire(row, entry, now);
-    return d->finish(now);
+    return d->takeActions(now);
 }
 
-auto RunOnce::runEnded(SendId send, RunEnd end, const RunRecord &record, TimePoint now) -> RunOnceActions
+auto RunOnce::runEnded(SendId send, RunOutcome end, const RunRecord &record, TimePoint now) -> RunOnceActions
 {
     const auto found = d->rowOf.find(send);
-    if (found == d->rowOf.end() || d->keys.at(found->second).runner != send) {
+    if (found == d->rowOf.end() || d->keys.at(found->second).forwardedSend != send) {
         return {};
     }
     const auto row = found->second;
     d->rowOf.erase(found);
     auto &entry = d->keys.at(row);
-    entry.runner.reset();
-    if (end == RunEnd::NotRun) {
+    entry.forwardedSend.reset();
+    if (end == RunOutcome::NotRun) {
         d->forwardNext(row, entry, now);
-        return d->finish(now);
+        return d->takeActions(now);
     }
-    if (end == RunEnd::Unknown) {
+    if (end == RunOutcome::Unknown) {
         d->answerAll(entry);
-        d->remember(row, entry);
-        return d->finish(now);
+        d->keepInMemory(row, entry);
+        return d->takeActions(now);
     }
     entry.phase = Phase::Recording;
-    entry.record = bounded(record, d->settings.maxRecordBytes);
+    entry.record = limitRecord(record, d->settings.maxRecordBytes);
     d->answerAll(entry);
     const ClaimRow claim {.attempt = entry.attempt, .state = ClaimState::Done, .keepUntilMs = entry.keepUntilMs, .record = entry.record};
     d->queue.add({TableOp::Kind::Put, row, entry.version, serializeClaimRow(claim)}, CommitUrgency::Background, now);
-    return d->finish(now);
+    return d->takeActions(now);
 }
 
 auto RunOnce::tick(TimePoint now) -> RunOnceActions
@@ -505,10 +505,10 @@
             d->expire(row, found->second, now);
         }
     }
-    return d->finish(now);
+    return d->takeActions(now);
 }
 
-auto RunOnce::Private::finish(TimePoint now) -> RunOnceActions
+auto RunOnce::Private::takeActions(TimePoint now) -> RunOnceActions
 {
     readDue(now);
     while (auto batch = queue.nextBatch(now)) {
--- a/src/core/runonce.h
+++ b/src/core/runonce.h
@@ -88,7 +88,7 @@
     std::int64_t keepUntilMs = 0; ///< see ClaimRow
 };
 
-enum class RunEnd {
+enum class RunOutcome {
     Answered, ///< whole answer received
     NotRun, ///< certainly nothing reached the target
     Unknown, ///< may have run
@@ -130,8 +130,8 @@
 
 struct RunOnceSettings {
     double writesPerSecond = 100; ///< this agent's share of the platform's budget, to start with; adapts between the next two
-    double leastWritesPerSecond = 2;
-    double mostWritesPerSecond = 300;
+    double minWritesPerSecond = 2;
+    double maxWritesPerSecond = 300;
     std::size_t batchesInFlight = 4;
     Duration retryDelay = Duration::millis(50); ///< after a refused or lost write, and after a failed read
     Duration pollPeriod = Duration::millis(200); ///< of a row that another agent has claimed
@@ -158,14 +158,14 @@
 
     // Events
 
-    auto arrive(const RunOnceSend &send, TimePoint now) -> RunOnceActions;
+    auto submit(const RunOnceSend &send, TimePoint now) -> RunOnceActions;
     /// The caller left. A send that was forwarded stays: report its end with runEnded().
     auto cancel(SendId send, TimePoint now) -> RunOnceActions;
     auto transactDone(BatchId batch, const TransactResult &result, TimePoint now) -> RunOnceActions;
     /// `rows`: those that exist; none at all if the read failed.
     auto readDone(ReadId read, const std::optional<std::vector<TableRow>> &rows, TimePoint now) -> RunOnceActions;
     /// `record`: with Answered only.
-    auto runEnded(SendId send, RunEnd end, const RunRecord &record, TimePoint now) -> RunOnceActions;
+    auto runEnded(SendId send, RunOutcome end, const RunRecord &record, TimePoint now) -> RunOnceActions;
     auto tick(TimePoint now) -> RunOnceActions;
 
     struct Private;
--- a/src/core/storewatchers.cpp
+++ b/src/core/storewatchers.cpp
@@ -10,29 +10,30 @@
 {
 }
 
-auto StoreWatchers::advance(bool isReached, TimePoint now) -> void
+auto StoreWatchers::advance(bool isStoreReachable, TimePoint now) -> void
 {
-    if (isReached) {
-        m_lostAt.reset();
-    } else if (!m_lostAt) {
-        m_lostAt = now;
+    if (isStoreReachable) {
+        m_unreachableSince.reset();
+    } else if (!m_unreachableSince) {
+        m_unreachableSince = now;
     }
 }
 
-auto StoreWatchers::wanted(TimePoint now) const -> int
+auto StoreWatchers::desiredWatchers(TimePoint now) const -> int
 {
-    int count = m_options.usual;
-    if (m_lostAt) {
-        for (auto joinsAt = *m_lostAt + m_options.joinAfter; joinsAt <= now && count < m_options.most; joinsAt = joinsAt + m_options.joinAfter) {
+    int count = m_options.baseCount;
+    if (m_unreachableSince) {
+        for (auto joinsAt = *m_unreachableSince + m_options.doubleAfter; joinsAt <= now && count < m_options.maxCount;
+             joinsAt = joinsAt + m_options.doubleAfter) {
             count *= 2;
         }
     }
-    return std::min(count, std::max(m_options.most, m_options.usual));
+    return std::min(count, std::max(m_options.maxCount, m_options.baseCount));
 }
 
-auto StoreWatchers::sourceAtStart(int registered, int ahead) const -> TableSource
+auto StoreWatchers::initialSource(int registered, int ahead) const -> TableSource
 {
-    return registered <= m_options.mostReading || ahead < m_options.most ? TableSource::Store : TableSource::Peers;
+    return registered <= m_options.maxDirectReaders || ahead < m_options.maxCount ? TableSource::Store : TableSource::Peers;
 }
 
 } // namespace KingCup
--- a/src/core/storewatchers.h
+++ b/src/core/storewatchers.h
@@ -18,10 +18,10 @@
 };
 
 struct StoreWatcherOptions {
-    int usual = 3; ///< gateways that watch at once: two of them may lose the store in the same moment
-    int most = 12; ///< while nobody reaches it
-    int mostReading = 40; ///< registered gateways up to which each reads the tables by itself
-    Duration joinAfter = Duration::millis(400); ///< without a watcher that reaches the store, until the number doubles
+    int baseCount = 3; ///< gateways that watch at once: two of them may lose the store in the same moment
+    int maxCount = 12; ///< while nobody reaches it
+    int maxDirectReaders = 40; ///< registered gateways up to which each reads the tables by itself
+    Duration doubleAfter = Duration::millis(400); ///< without a watcher that reaches the store, until the number doubles
 };
 
 class StoreWatchers
@@ -29,16 +29,16 @@
 public:
     explicit StoreWatchers(StoreWatcherOptions options = {});
 
-    /// `isReached`: some watcher, here or elsewhere, reaches the store.
-    auto advance(bool isReached, TimePoint now) -> void;
+    /// `isStoreReachable`: some watcher, here or elsewhere, reaches the store.
+    auto advance(bool isStoreReachable, TimePoint now) -> void;
     /// Gateways that should watch now, counted from the first in the ranking.
-    auto wanted(TimePoint now) const -> int;
+    auto desiredWatchers(TimePoint now) const -> int;
     /// Of a gateway with so many others `ahead` in the ranking, by the rows of `registered` gateways.
-    auto sourceAtStart(int registered, int ahead) const -> TableSource;
+    auto initialSource(int registered, int ahead) const -> TableSource;
 
 private:
     StoreWatcherOptions m_options;
-    std::optional<TimePoint> m_lostAt;
+    std::optional<TimePoint> m_unreachableSince;
 };
 
 } // namespace KingCup
--- a/src/core/suspects.cpp
+++ b/src/core/suspects.cpp
@@ -33,7 +33,7 @@
 auto Suspects::verdict(const std::string &fingerprint, TimePoint now) const -> Verdict
 {
     const auto found = m_records.find(fingerprint);
-    if (found == m_records.end() || found->second.until <= now || found->second.cleared) {
+    if (found == m_records.end() || found->second.expiresAt <= now || found->second.cleared) {
         return Verdict::Clear;
     }
     return found->second.quarantined ? Verdict::Quarantined : Verdict::Alone;
@@ -43,7 +43,7 @@
 {
     SuspectDigest result;
     for (const auto &[fingerprint, record] : m_records) {
-        if (record.until <= now || record.cleared) {
+        if (record.expiresAt <= now || record.cleared) {
             continue;
         }
         if (record.quarantined) {
@@ -68,18 +68,18 @@
         if (record.quarantined) {
             continue;
         }
-        if (record.until <= now) {
+        if (record.expiresAt <= now) {
             record.crashes.clear();
         }
         record.crashes.insert(crash);
         record.cleared = false;
-        record.isOver = false;
-        record.until = now + m_options.suspectFor;
+        record.isQuarantineOver = false;
+        record.expiresAt = now + m_options.suspectFor;
         if (record.crashes.size() >= CrashesToQuarantine) {
             quarantine(record, now);
         }
     }
-    dropOldest();
+    evictOldest();
 }
 
 auto Suspects::completedAlone(const std::string &fingerprint, TimePoint now) -> void
@@ -90,19 +90,19 @@
     }
     found->second.cleared = true;
     found->second.crashes.clear();
-    found->second.until = now + m_options.suspectFor;
+    found->second.expiresAt = now + m_options.suspectFor;
 }
 
 auto Suspects::merge(const SuspectDigest &digest, TimePoint now) -> void
 {
     for (const auto &fingerprint : digest.quarantined) {
         auto &record = m_records[fingerprint];
-        if (!record.quarantined && !record.isOver) {
+        if (!record.quarantined && !record.isQuarantineOver) {
             quarantine(record, now);
         }
     }
     for (const auto &suspicion : digest.suspected) {
-        auto &record = m_records.try_emplace(suspicion.fingerprint, Record {.until = now + m_options.suspectFor}).first->second;
+        auto &record = m_records.try_emplace(suspicion.fingerprint, Record {.expiresAt = now + m_options.suspectFor}).first->second;
         if (record.quarantined || record.cleared) {
             continue;
         }
@@ -111,26 +111,26 @@
             quarantine(record, now);
         }
     }
-    dropOldest();
+    evictOldest();
 }
 
 auto Suspects::expire(TimePoint now) -> void
 {
-    for (auto place = m_records.begin(); place != m_records.end();) {
-        auto &record = place->second;
-        if (record.until > now) {
-            ++place;
-        } else if (record.cleared || record.until + m_options.suspectFor <= now) {
-            place = m_records.erase(place);
+    for (auto it = m_records.begin(); it != m_records.end();) {
+        auto &record = it->second;
+        if (record.expiresAt > now) {
+            ++it;
+        } else if (record.cleared || record.expiresAt + m_options.suspectFor <= now) {
+            it = m_records.erase(it);
         } else {
             // Over, but remembered as cleared for one more lifetime: a peer whose record ends a little later would otherwise hand it
             // back, and the two would keep it alive for ever.
             record.cleared = true;
-            record.isOver = record.quarantined;
+            record.isQuarantineOver = record.quarantined;
             record.quarantined = false;
             record.crashes.clear();
-            record.until = now + m_options.suspectFor;
-            ++place;
+            record.expiresAt = now + m_options.suspectFor;
+            ++it;
         }
     }
 }
@@ -139,19 +139,19 @@
 {
     record.quarantined = true;
     record.cleared = false;
-    record.until = now + m_options.quarantineFor;
+    record.expiresAt = now + m_options.quarantineFor;
 }
 
-auto Suspects::dropOldest() -> void
+auto Suspects::evictOldest() -> void
 {
-    const auto isBetterGone = [](const auto &left, const auto &right) {
+    const auto isEvictedBefore = [](const auto &left, const auto &right) {
         if (left.second.quarantined != right.second.quarantined) {
             return !left.second.quarantined;
         }
-        return left.second.until < right.second.until;
+        return left.second.expiresAt < right.second.expiresAt;
     };
-    while (m_records.size() > m_options.most) {
-        m_records.erase(std::min_element(m_records.begin(), m_records.end(), isBetterGone));
+    while (m_records.size() > m_options.maxRecords) {
+        m_records.erase(std::min_element(m_records.begin(), m_records.end(), isEvictedBefore));
     }
 }
 
--- a/src/core/suspects.h
+++ b/src/core/suspects.h
@@ -22,7 +22,7 @@
 auto toString(Verdict verdict) -> const char *;
 
 struct SuspectsOptions {
-    std::size_t most = 4096; ///< fingerprints kept; the oldest suspects go first, quarantined ones last
+    std::size_t maxRecords = 4096; ///< fingerprints kept; the oldest suspects go first, quarantined ones last
     Duration suspectFor = Duration::seconds(600);
     Duration quarantineFor = Duration::seconds(86400);
 };
@@ -62,12 +62,12 @@
 private:
     struct Record {
         bool quarantined = false;
-        bool isOver = false; ///< its quarantine ran out: gossip of it is ignored
+        bool isQuarantineOver = false; ///< its quarantine ran out: gossip of it is ignored
         bool cleared = false; ///< kept for a while so that gossip doesn't bring the suspicion back
-        TimePoint until;
+        TimePoint expiresAt;
         std::set<std::string> crashes; ///< "target#generation"
     };
-    auto dropOldest() -> void;
+    auto evictOldest() -> void;
     auto quarantine(Record &record, TimePoint now) -> void;
 
     SuspectsOptions m_options;
--- a/src/entry/fleet.cpp
+++ b/src/entry/fleet.cpp
@@ -162,7 +162,7 @@
     if (report.leaving()) {
         membership.reportedLeaving(id);
     } else {
-        membership.saidStaying(id);
+        membership.reportedStaying(id);
     }
     router.reportReceived(TargetId(id), targetLoadOf(agent.report), loop.now());
     hooks.onCapacity();
--- a/src/gateway/demandexchange.cpp
+++ b/src/gateway/demandexchange.cpp
@@ -26,7 +26,7 @@
 
 auto DemandExchange::holderId() const -> std::string
 {
-    return hostOf(m_parts.orders.lease().holder());
+    return gatewayIdOf(m_parts.orders.lease().holder());
 }
 
 auto DemandExchange::work(const EngineDeclaration &engine, const RequestCost &cost) const -> std::map<std::string, ModelWork>
--- a/src/gateway/forwardedanswer.cpp
+++ b/src/gateway/forwardedanswer.cpp
@@ -252,7 +252,7 @@
 auto ForwardedRequest::noteBreak() -> void
 {
     const auto request = fingerprint();
-    if (m_owner.crashes.brokeOff(request, m_sentAt, now())) {
+    if (m_owner.crashes.targetBrokeOff(request, m_sentAt, now())) {
         m_owner.hooks.onCrashRepeat(request, m_owner.crashes.breaks(request));
     }
 }
--- a/src/gateway/loadexchange.cpp
+++ b/src/gateway/loadexchange.cpp
@@ -21,7 +21,7 @@
 /// Starts of gateways are named as holders of the order lease are.
 auto hostOfStart(const EntryId &start) -> std::string
 {
-    return hostOf(HolderName(start.text()));
+    return gatewayIdOf(HolderName(start.text()));
 }
 
 } // namespace
--- a/src/gateway/ordertask.cpp
+++ b/src/gateway/ordertask.cpp
@@ -223,9 +223,9 @@
         const auto write = lease.writeStarted(now());
         parts.store.change(StoreTable::Leases, {{LeaseKey, write.expected, write.value}}, [this](const StoreAnswer &answer) {
             if (answer.end == StoreEnd::Done) {
-                lease.written(answer.version, now());
+                lease.writeCommitted(answer.version, now());
             } else if (answer.end == StoreEnd::Unclear) {
-                lease.writeUnclear(now());
+                lease.writeOutcomeUnknown(now());
             } else {
                 lease.writeRefused(now());
             }
--- a/src/gateway/storefollower.cpp
+++ b/src/gateway/storefollower.cpp
@@ -135,7 +135,7 @@
     for (const auto &id : peers.live()) {
         ahead += rankOf(id) > rankOf(settings.id) ? 1 : 0;
     }
-    return ahead < watcherCount.wanted(loop.now());
+    return ahead < watcherCount.desiredWatchers(loop.now());
 }
 
 auto StoreFollower::Private::reachesStore() const -> bool
@@ -174,7 +174,7 @@
         registered += row.isRemoved ? 0 : 1;
         ahead += !row.isRemoved && rankOf(row.key) > rankOf(settings.id) ? 1 : 0;
     }
-    if (watcherCount.sourceAtStart(registered, ahead) == TableSource::Store) {
+    if (watcherCount.initialSource(registered, ahead) == TableSource::Store) {
         endStart();
         startWatching("start");
         return;
@@ -246,10 +246,10 @@
 {
     TableWatchHooks watchHooks;
     watchHooks.onTable = [this, index](const std::vector<StoredRow> &rows, RowVersion upTo) {
-        takeOwn(index, tables.at(index).mirror.takeTable(rows, upTo));
+        takeOwn(index, tables.at(index).mirror.applySnapshot(rows, upTo));
     };
     watchHooks.onChanges = [this, index](const std::vector<StoredRow> &rows) {
-        takeOwn(index, tables.at(index).mirror.takeChanges(rows));
+        takeOwn(index, tables.at(index).mirror.applyChanges(rows));
     };
     watchHooks.onContact = [this, index](bool isReached) {
         log.line("store", isReached ? "reached" : "not-reached").add("for", nameOf(index));
@@ -429,7 +429,7 @@
 auto StoreFollower::receive(StoreTable table, const std::vector<StoredRow> &rows) -> void
 {
     if (const auto index = indexOf(table)) {
-        d->takeOwn(*index, d->tables.at(*index).mirror.takeChanges(rows));
+        d->takeOwn(*index, d->tables.at(*index).mirror.applyChanges(rows));
     }
 }
 
@@ -490,7 +490,7 @@
         rows.push_back({row.key(), RowVersion(row.version()), row.value(), row.removed()});
     }
     auto &mirror = d->tables.at(index).mirror;
-    const auto news = message->whole() ? mirror.takeTable(rows, RowVersion(message->up_to())) : mirror.takeChanges(rows);
+    const auto news = message->whole() ? mirror.applySnapshot(rows, RowVersion(message->up_to())) : mirror.applyChanges(rows);
     d->hooks.onRows(Tables.at(index), news);
     if (d->asksPeers && d->areAllLoaded()) {
         d->endStart();
--- a/tests/sim_engine.h
+++ b/tests/sim_engine.h
@@ -9,10 +9,10 @@
 
 struct SimEngineFaults {
     double lostOrder = 0.0; ///< no answer, no effect
-    double lateOrder = 0.0; ///< no answer, effect up to `latest` after sending
+    double lateOrder = 0.0; ///< no answer, effect up to `maxDelay` after sending
     double lostAnswer = 0.0; ///< of orders, statuses and fences
-    double acceptedLate = 0.0; ///< accepted, effect up to `latest` after sending
-    Duration latest = Duration::seconds(10);
+    double acceptedLate = 0.0; ///< accepted, effect up to `maxDelay` after sending
+    Duration maxDelay = Duration::seconds(10);
     Duration latency = Duration::millis(50);
     Duration loadTime = Duration::seconds(2);
     Duration restartTime = Duration::seconds(15);
@@ -31,9 +31,9 @@
     }
 
     SimEngineFaults faults;
-    Bytes most; ///< highest use ever
+    Bytes highestUse; ///< highest use ever
     std::size_t loads = 0;
-    std::map<ArtifactName, std::size_t> unexpected; ///< loads that found the artifact there already
+    std::map<ArtifactName, std::size_t> duplicateLoads; ///< loads that found the artifact there already
     std::vector<EngineArtifact> resident;
     std::vector<EngineArtifact> loading;
 
@@ -66,7 +66,7 @@
         const bool acceptedLate = chance(faults.acceptedLate);
         const bool answerLost = lost || late || chance(faults.lostAnswer);
         if (!lost) {
-            const auto delay = late || acceptedLate ? upTo(faults.latest) : upTo(faults.latency);
+            const auto delay = late || acceptedLate ? randomUpTo(faults.maxDelay) : randomUpTo(faults.latency);
             m_clock.after(delay, [this, order, done, answerLost, acceptedLate] {
                 const bool taken = apply(order);
                 if (!answerLost && !acceptedLate) {
@@ -77,20 +77,20 @@
         if (answerLost) {
             m_clock.after(Duration::seconds(2), [done] { done(OrderAnswer::Lost); });
         } else if (acceptedLate) {
-            m_clock.after(upTo(faults.latency), [done] { done(OrderAnswer::Accepted); });
+            m_clock.after(randomUpTo(faults.latency), [done] { done(OrderAnswer::Accepted); });
         }
     }
-    auto raise(Fence fence, const std::function<void(Fence)> &done) -> void
+    auto raiseFence(Fence fence, const std::function<void(Fence)> &done) -> void
     {
         if (chance(faults.lostAnswer)) {
             return;
         }
-        m_clock.after(upTo(faults.latency), [this, fence, done] {
+        m_clock.after(randomUpTo(faults.latency), [this, fence, done] {
             if (isDown()) {
                 return;
             }
             m_fence = std::max(m_fence, fence);
-            m_clock.after(upTo(faults.latency), [done, now = m_fence] { done(now); });
+            m_clock.after(randomUpTo(faults.latency), [done, now = m_fence] { done(now); });
         });
     }
     auto status(const std::function<void(const EngineStatus &)> &done) -> void
@@ -98,12 +98,12 @@
         if (chance(faults.lostAnswer)) {
             return;
         }
-        m_clock.after(upTo(faults.latency), [this, done] {
+        m_clock.after(randomUpTo(faults.latency), [this, done] {
             if (isDown()) {
                 return;
             }
             const EngineStatus truth {.generation = m_generation, .fence = m_fence, .memoryTotal = m_total, .resident = resident, .loading = loading};
-            m_clock.after(upTo(faults.latency), [done, truth] { done(truth); });
+            m_clock.after(randomUpTo(faults.latency), [done, truth] { done(truth); });
         });
     }
 
@@ -125,10 +125,10 @@
             return entry.artifact == order.artifact;
         };
         const bool there = std::any_of(resident.begin(), resident.end(), same) || std::any_of(loading.begin(), loading.end(), same);
-        unexpected[order.artifact] += there ? 1 : 0;
+        duplicateLoads[order.artifact] += there ? 1 : 0;
         ++loads;
         loading.push_back({order.artifact, order.bytes, order.id});
-        most = std::max(most, used());
+        highestUse = std::max(highestUse, used());
         m_clock.after(faults.loadTime, [this, order, generation = m_generation] { finishLoad(order, generation); });
         return true;
     }
@@ -144,7 +144,7 @@
     {
         return std::uniform_real_distribution<double>(0, 1)(m_random) < probability;
     }
-    auto upTo(Duration longest) -> Duration
+    auto randomUpTo(Duration longest) -> Duration
     {
         return Duration::micros(std::uniform_int_distribution<std::int64_t>(0, longest.inMicros())(m_random));
     }
--- a/tests/sim_table.h
+++ b/tests/sim_table.h
@@ -57,9 +57,9 @@
 struct SimTableFaults {
     double lostRequest = 0.0; ///< never arrives, no answer
     double lostAnswer = 0.0; ///< takes effect, no answer
-    double late = 0.0; ///< no answer, takes effect up to `latest` later
+    double late = 0.0; ///< no answer, takes effect up to `maxDelay` later
     double refused = 0.0; ///< definitely without effect
-    Duration latest = Duration::seconds(3);
+    Duration maxDelay = Duration::seconds(3);
     Duration latency = Duration::millis(10); ///< most, each way
     Duration timeout = Duration::millis(100); ///< after which the client says "lost"
 };
@@ -89,14 +89,14 @@
             return lose(done);
         }
         if (chance(faults.late)) {
-            m_clock.after(upTo(faults.latest), [this, ops] { apply(ops); });
+            m_clock.after(randomUpTo(faults.maxDelay), [this, ops] { apply(ops); });
             return lose(done);
         }
         if (chance(faults.lostAnswer)) {
-            m_clock.after(upTo(faults.latency), [this, ops] { apply(ops); });
+            m_clock.after(randomUpTo(faults.latency), [this, ops] { apply(ops); });
             return lose(done);
         }
-        m_clock.after(upTo(faults.latency), [this, ops, done] {
+        m_clock.after(randomUpTo(faults.latency), [this, ops, done] {
             const auto result = apply(ops);
             answer([done, result] { done(result); });
         });
@@ -108,7 +108,7 @@
             m_clock.after(faults.timeout, [done] { done(std::nullopt); });
             return;
         }
-        m_clock.after(upTo(faults.latency), [this, keys, done] {
+        m_clock.after(randomUpTo(faults.latency), [this, keys, done] {
             std::vector<TableRow> found;
             for (const auto &key : keys) {
                 if (rows.contains(key)) {
@@ -155,13 +155,13 @@
     {
         return std::uniform_real_distribution<double>(0, 1)(m_random) < probability;
     }
-    auto upTo(Duration most) -> Duration
+    auto randomUpTo(Duration longest) -> Duration
     {
-        return Duration::micros(std::uniform_int_distribution<std::int64_t>(0, most.inMicros())(m_random));
+        return Duration::micros(std::uniform_int_distribution<std::int64_t>(0, longest.inMicros())(m_random));
     }
     auto answer(std::function<void()> done) -> void
     {
-        m_clock.after(upTo(faults.latency), std::move(done));
+        m_clock.after(randomUpTo(faults.latency), std::move(done));
     }
     auto lose(const std::function<void(const TransactResult &)> &done) -> void
     {
--- a/tests/unit_claimtask.cpp
+++ b/tests/unit_claimtask.cpp
@@ -63,7 +63,7 @@
     const auto send = hooks.begin(key, loop.now() + Limit, note);
     REQUIRE(loop.runUntil([&] { return !verdicts.empty(); }, Limit));
     REQUIRE(std::holds_alternative<ForwardSend>(verdicts.front()));
-    hooks.runEnded(send, RunEnd::Answered, {.status = 201, .headers = {}, .body = "done"});
+    hooks.runEnded(send, RunOutcome::Answered, {.status = 201, .headers = {}, .body = "done"});
     hooks.begin(key, loop.now() + Limit, note);
     REQUIRE(loop.runUntil([&] { return verdicts.size() == 2 && claims.openKeys() == 0; }, Limit));
     REQUIRE(std::get<AnswerFromRecord>(verdicts.back()).record.body == "done");
--- a/tests/unit_dispatch.cpp
+++ b/tests/unit_dispatch.cpp
@@ -379,7 +379,7 @@
     for (int i = 1; i <= 3; ++i) {
         auto &entry = i == 2 ? there : here;
         REQUIRE_FALSE(entry.isBarred(request, at(i)));
-        REQUIRE(entry.brokeOff(request, at(i), at(i + 0.2)));
+        REQUIRE(entry.targetBrokeOff(request, at(i), at(i + 0.2)));
         here.reported(request, entry.breaks(request), at(i + 0.3));
         there.reported(request, entry.breaks(request), at(i + 0.3));
     }
@@ -395,12 +395,12 @@
     CrashRepeats repeats;
     const auto request = requestFingerprint("host", "/chat", "usual");
     for (int i = 0; i < 10; ++i) {
-        repeats.brokeOff(request, at(1 + i * 0.01), at(2 + i * 0.001)); // all were sent before the first one broke off
+        repeats.targetBrokeOff(request, at(1 + i * 0.01), at(2 + i * 0.001)); // all were sent before the first one broke off
     }
     REQUIRE(repeats.breaks(request) == 1);
     // One target is down for a while and breaks off every repetition of the request.
     for (int i = 0; i < 20; ++i) {
-        repeats.brokeOff(request, at(2.1 + i * 0.03), at(2.11 + i * 0.03));
+        repeats.targetBrokeOff(request, at(2.1 + i * 0.03), at(2.11 + i * 0.03));
     }
     REQUIRE(repeats.breaks(request) == 1);
     repeats.succeeded(request);
--- a/tests/unit_ledger.cpp
+++ b/tests/unit_ledger.cpp
@@ -31,7 +31,7 @@
 }
 
 /// A status whose answer comes at once.
-auto tell(MemoryLedger &ledger, TimePoint when, const EngineStatus &truth) -> void
+auto deliverStatus(MemoryLedger &ledger, TimePoint when, const EngineStatus &truth) -> void
 {
     ledger.statusReceived(when, truth, when);
 }
@@ -40,7 +40,7 @@
 auto openLedger() -> MemoryLedger
 {
     MemoryLedger ledger(settings(FencingSupport::Ignored), "a", at(0));
-    tell(ledger, at(16), status());
+    deliverStatus(ledger, at(16), status());
     REQUIRE(ledger.isOpen());
     return ledger;
 }
@@ -59,7 +59,7 @@
     const auto order = ledger.orderLoad(Sun, {}, gigabytes(40), at(17));
     REQUIRE(order);
     REQUIRE(ledger.charged() == gigabytes(40));
-    REQUIRE(ledger.mayLoad(Moon, gigabytes(30)) == LedgerRefusal::NoRoom);
+    REQUIRE(ledger.mayLoad(Moon, gigabytes(30)) == LedgerRefusal::NoMemory);
     REQUIRE(ledger.mayLoad(Moon, gigabytes(28)) == LedgerRefusal::None);
     REQUIRE(ledger.mayLoad(Sun, gigabytes(1)) == LedgerRefusal::OrderOutstanding);
     ledger.orderAnswered(order->id, OrderAnswer::Refused);
@@ -73,9 +73,9 @@
     auto ledger = openLedger();
     const auto order = ledger.orderLoad(Sun, {}, gigabytes(40), at(17));
     ledger.orderAnswered(order->id, OrderAnswer::Lost);
-    tell(ledger, at(31.9), status());
+    deliverStatus(ledger, at(31.9), status());
     REQUIRE(ledger.charged() == gigabytes(40));
-    tell(ledger, at(32), status());
+    deliverStatus(ledger, at(32), status());
     REQUIRE(ledger.charged() == gigabytes(0));
 }
 
@@ -84,7 +84,7 @@
     // The answer to an earlier question arrives after the order was sent, and past the longest delay, because the network was slow.
     auto ledger = openLedger();
     ledger.orderLoad(Sun, {}, gigabytes(40), at(17));
-    tell(ledger, at(17), status());
+    deliverStatus(ledger, at(17), status());
     REQUIRE(ledger.charged() == gigabytes(40));
 }
 
@@ -92,18 +92,18 @@
 {
     // The engine refuses old fencing numbers, so that the room of a lost order is free again within seconds, not after its longest delay.
     MemoryLedger ledger(settings(FencingSupport::Checked), "a", at(0));
-    tell(ledger, at(0.1), status());
+    deliverStatus(ledger, at(0.1), status());
     REQUIRE(ledger.nextAction(at(0.2)).kind == LedgerAction::Kind::RaiseFence);
     REQUIRE(ledger.nextAction(at(0.2)).fence == Fence(1));
     ledger.fenceSent(Fence(1), at(0.2));
     ledger.fenceRaised(Fence(1));
     REQUIRE(ledger.mayLoad(Sun, gigabytes(1)) == LedgerRefusal::Closed);
-    REQUIRE(ledger.nextAction(at(0.3)).kind == LedgerAction::Kind::AskStatus);
-    tell(ledger, at(0.3), status({}, 1));
+    REQUIRE(ledger.nextAction(at(0.3)).kind == LedgerAction::Kind::RequestStatus);
+    deliverStatus(ledger, at(0.3), status({}, 1));
     const auto order = ledger.orderLoad(Sun, {}, gigabytes(40), at(1));
     REQUIRE(order->fence == Fence(1));
     ledger.orderAnswered(order->id, OrderAnswer::Lost);
-    tell(ledger, at(3), status({}, 1));
+    deliverStatus(ledger, at(3), status({}, 1));
     REQUIRE(ledger.charged() == gigabytes(40));
     const auto action = ledger.nextAction(at(4.1));
     REQUIRE(action.kind == LedgerAction::Kind::RaiseFence);
@@ -112,7 +112,7 @@
     REQUIRE(ledger.mayLoad(Moon, gigabytes(1)) == LedgerRefusal::FenceUnderWay);
     ledger.fenceRaised(Fence(2));
     REQUIRE(ledger.charged() == gigabytes(40));
-    tell(ledger, at(4.2), status({}, 2));
+    deliverStatus(ledger, at(4.2), status({}, 2));
     REQUIRE(ledger.charged() == gigabytes(0));
 }
 
@@ -121,13 +121,13 @@
     // The unload's answer is lost, the engine crashes and comes back empty. Loaded again at once, the model would be taken away by the late
     // unload, behind the back of callers who were just routed to it.
     auto ledger = openLedger();
-    tell(ledger, at(17), status({{Sun, gigabytes(40), {}}}));
+    deliverStatus(ledger, at(17), status({{Sun, gigabytes(40), {}}}));
     const auto order = ledger.orderUnload(Sun, at(18));
     REQUIRE_FALSE(ledger.isUsable(Sun));
     ledger.orderAnswered(order->id, OrderAnswer::Lost);
-    tell(ledger, at(19), status({}, 0, 2));
+    deliverStatus(ledger, at(19), status({}, 0, 2));
     REQUIRE(ledger.mayLoad(Sun, gigabytes(40)) == LedgerRefusal::OrderOutstanding);
-    tell(ledger, at(33), status({}, 0, 2));
+    deliverStatus(ledger, at(33), status({}, 0, 2));
     REQUIRE(ledger.mayLoad(Sun, gigabytes(40)) == LedgerRefusal::None);
 }
 
@@ -137,11 +137,11 @@
     // or its room is given away too soon.
     auto ledger = openLedger();
     ledger.orderLoad(Sun, {}, gigabytes(40), at(17));
-    ledger.declare(Duration::seconds(60), 0.25);
-    tell(ledger, at(40), status());
+    ledger.updateDeclaration(Duration::seconds(60), 0.25);
+    deliverStatus(ledger, at(40), status());
     REQUIRE(ledger.charged() == gigabytes(40));
     REQUIRE(ledger.freeBytes() == gigabytes(20));
-    tell(ledger, at(77), status());
+    deliverStatus(ledger, at(77), status());
     REQUIRE(ledger.charged() == gigabytes(0));
 }
 
@@ -149,10 +149,10 @@
 {
     // An agent is killed right after it ordered a load, and its replacement sees an engine with room. That room may be taken any moment.
     MemoryLedger ledger(settings(FencingSupport::Ignored), "a", at(100));
-    tell(ledger, at(101), status());
+    deliverStatus(ledger, at(101), status());
     REQUIRE(ledger.mayLoad(Sun, gigabytes(40)) == LedgerRefusal::Closed);
-    tell(ledger, at(115), status({{Moon, gigabytes(60), {}}}));
-    REQUIRE(ledger.mayLoad(Sun, gigabytes(40)) == LedgerRefusal::NoRoom);
+    deliverStatus(ledger, at(115), status({{Moon, gigabytes(60), {}}}));
+    REQUIRE(ledger.mayLoad(Sun, gigabytes(40)) == LedgerRefusal::NoMemory);
 }
 
 TEST_CASE("a restarted agent opens with a fence above every earlier agent's")
@@ -162,7 +162,7 @@
     auto options = settings(FencingSupport::Checked);
     options.firstFence = Fence(2000);
     MemoryLedger ledger(options, "a", at(0));
-    tell(ledger, at(0.1), status({}, 0, 2));
+    deliverStatus(ledger, at(0.1), status({}, 0, 2));
     REQUIRE(ledger.nextAction(at(0.2)).fence == Fence(2000));
 }
 
@@ -187,7 +187,7 @@
     const ArtifactName old("old@1");
     const ArtifactName surge("surge@1");
     const ArtifactName busy("busy@1");
-    tell(ledger, at(17), status({{old, gigabytes(10), {}}, {surge, gigabytes(20), {}}, {busy, gigabytes(30), {}}}));
+    deliverStatus(ledger, at(17), status({{old, gigabytes(10), {}}, {surge, gigabytes(20), {}}, {busy, gigabytes(30), {}}}));
     ResidencyInput input;
     input.wants = {{Sun, {}, gigabytes(36), true}, {surge, {}, gigabytes(20), false}};
     input.isInUse = [&](const ArtifactName &name) {
@@ -201,7 +201,7 @@
     REQUIRE(next->artifact == surge);
     ledger.orderUnload(surge, at(18));
     REQUIRE_FALSE(nextResidencyOrder(ledger, input));
-    tell(ledger, at(19), status({{busy, gigabytes(30), {}}}));
+    deliverStatus(ledger, at(19), status({{busy, gigabytes(30), {}}}));
     next = nextResidencyOrder(ledger, input);
     REQUIRE(next->kind == OrderKind::Load);
     REQUIRE(next->artifact == Sun);
@@ -217,9 +217,9 @@
         return name == adapter ? Sun : ArtifactName();
     };
     REQUIRE(nextResidencyOrder(ledger, input)->artifact == Sun);
-    tell(ledger, at(17), status({{Sun, gigabytes(30), {}}}));
+    deliverStatus(ledger, at(17), status({{Sun, gigabytes(30), {}}}));
     REQUIRE(nextResidencyOrder(ledger, input)->artifact == adapter);
-    tell(ledger, at(18), status({{Sun, gigabytes(30), {}}, {adapter, gigabytes(1), {}}}));
+    deliverStatus(ledger, at(18), status({{Sun, gigabytes(30), {}}, {adapter, gigabytes(1), {}}}));
     input.wants.clear();
     input.retired = {Sun, adapter};
     REQUIRE(nextResidencyOrder(ledger, input)->artifact == adapter);
@@ -249,16 +249,16 @@
     const auto act = [&] {
         const auto alive = std::weak_ptr<MemoryLedger>(ledger);
         const auto action = ledger->nextAction(clock.now());
-        if (action.kind == LedgerAction::Kind::AskStatus) {
-            ledger->statusAsked(clock.now());
-            engine.status([alive, &clock, askedAt = clock.now()](const EngineStatus &seen) {
+        if (action.kind == LedgerAction::Kind::RequestStatus) {
+            ledger->statusRequested(clock.now());
+            engine.status([alive, &clock, requestedAt = clock.now()](const EngineStatus &seen) {
                 if (const auto locked = alive.lock()) {
-                    locked->statusReceived(askedAt, seen, clock.now());
+                    locked->statusReceived(requestedAt, seen, clock.now());
                 }
             });
         } else if (action.kind == LedgerAction::Kind::RaiseFence) {
             ledger->fenceSent(action.fence, clock.now());
-            engine.raise(action.fence, [alive](Fence raised) {
+            engine.raiseFence(action.fence, [alive](Fence raised) {
                 if (const auto locked = alive.lock()) {
                     locked->fenceRaised(raised);
                 }
@@ -297,7 +297,7 @@
         REQUIRE(engine.used() <= total - ledger->kvReserved());
     }
     REQUIRE(engine.loads > 3);
-    for (const auto &[artifact, times] : engine.unexpected) {
+    for (const auto &[artifact, times] : engine.duplicateLoads) {
         REQUIRE(times == 0);
     }
 }
--- a/tests/unit_membership.cpp
+++ b/tests/unit_membership.cpp
@@ -26,7 +26,7 @@
     return hosts;
 }
 
-auto hearAll(Membership &membership, int count, TimePoint now) -> void
+auto heartbeatAll(Membership &membership, int count, TimePoint now) -> void
 {
     for (int i = 0; i < count; ++i) {
         membership.seen("r" + std::to_string(i), now);
@@ -40,7 +40,7 @@
     Membership membership;
     membership.listReceived(agents(2), at(0));
     REQUIRE(membership.live(HostRole::Agent).empty());
-    hearAll(membership, 2, at(0));
+    heartbeatAll(membership, 2, at(0));
     REQUIRE(membership.live(HostRole::Agent).size() == 2);
     membership.seen("r1", at(1));
     membership.advance(at(2));
@@ -57,11 +57,11 @@
     // use at once, and all callers would be refused.
     Membership membership;
     membership.listReceived(agents(10), at(0));
-    hearAll(membership, 10, at(0));
+    heartbeatAll(membership, 10, at(0));
     const auto shrunk = GENERATE(0, 5);
     membership.listReceived(agents(shrunk), at(1));
     REQUIRE_FALSE(membership.isListTrusted());
-    hearAll(membership, 10, at(400));
+    heartbeatAll(membership, 10, at(400));
     membership.advance(at(400));
     REQUIRE(membership.live(HostRole::Agent).size() == 10);
     membership.listReceived(agents(10), at(401));
@@ -72,7 +72,7 @@
 {
     Membership membership;
     membership.listReceived(agents(10), at(0));
-    hearAll(membership, 10, at(0));
+    heartbeatAll(membership, 10, at(0));
     membership.listReceived(agents(9), at(1));
     REQUIRE(membership.isListTrusted());
     membership.advance(at(302));
@@ -157,7 +157,7 @@
 
 TEST_CASE("the memory of suspects is bounded, and quarantined ones are kept longest")
 {
-    Suspects suspects({.most = 50});
+    Suspects suspects({.maxRecords = 50});
     suspects.targetCrashed(TargetId("r1"), 1, {"bad"}, at(0));
     suspects.targetCrashed(TargetId("r2"), 1, {"bad"}, at(0));
     for (int i = 0; i < 500; ++i) {
--- a/tests/unit_orders.cpp
+++ b/tests/unit_orders.cpp
@@ -45,7 +45,7 @@
             const auto write = lease.writeStarted(at(now));
             if (write.expected == m_version) {
                 put(write.value);
-                lease.written(m_version, at(now));
+                lease.writeCommitted(m_version, at(now));
             } else {
                 lease.writeRefused(at(now));
             }
@@ -131,7 +131,7 @@
     REQUIRE(lease.isHolder());
     const auto write = lease.writeStarted(at(2));
     bench.put(write.value);
-    lease.writeUnclear(at(4));
+    lease.writeOutcomeUnknown(at(4));
     REQUIRE_FALSE(lease.mayOrder(at(4)));
     for (const double now : moments(4, 4.6, 0.1)) {
         if (lease.nextStep(at(now)) == LeaseStep::Read) {
@@ -333,7 +333,7 @@
     all.holder.setCandidates({Bystander});
     const auto write = all.holder.writeStarted(at(2.5));
     all.bench.put(write.value);
-    all.holder.writeUnclear(at(3));
+    all.holder.writeOutcomeUnknown(at(3));
     for (const double now : moments(3, 8, 0.2)) {
         all.digest(now); // only the former candidate confirms
     }
--- a/tests/unit_storewatchers.cpp
+++ b/tests/unit_storewatchers.cpp
@@ -25,14 +25,14 @@
     {
         int count = 0;
         for (int rank = 0; rank < Gateways; ++rank) {
-            count += rank < watchers[static_cast<std::size_t>(rank)].wanted(now) ? 1 : 0;
+            count += rank < watchers[static_cast<std::size_t>(rank)].desiredWatchers(now) ? 1 : 0;
         }
         return count;
     }
-    auto isReached(TimePoint now) const -> bool
+    auto isStoreReachable(TimePoint now) const -> bool
     {
         for (std::size_t rank = 0; rank < reaches.size(); ++rank) {
-            if (reaches[rank] && static_cast<int>(rank) < watchers[rank].wanted(now)) {
+            if (reaches[rank] && static_cast<int>(rank) < watchers[rank].desiredWatchers(now)) {
                 return true;
             }
         }
@@ -40,9 +40,9 @@
     }
     auto advance(TimePoint now) -> void
     {
-        const bool isReachedNow = isReached(now);
+        const bool isReachableNow = isStoreReachable(now);
         for (auto &one : watchers) {
-            one.advance(isReachedNow, now);
+            one.advance(isReachableNow, now);
         }
     }
 };
@@ -54,15 +54,15 @@
     // All 103 gateways retried while the store was away: some hundred calls a second, each with its price, into a store that was coming back.
     Fleet fleet;
     fleet.advance(at(0));
-    CHECK(fleet.watching(at(0)) == StoreWatcherOptions().usual);
+    CHECK(fleet.watching(at(0)) == StoreWatcherOptions().baseCount);
     std::fill(fleet.reaches.begin(), fleet.reaches.end(), false);
     for (int tick = 0; tick < 300; ++tick) {
         fleet.advance(at(tick * 0.1));
-        REQUIRE(fleet.watching(at(tick * 0.1)) <= StoreWatcherOptions().most);
+        REQUIRE(fleet.watching(at(tick * 0.1)) <= StoreWatcherOptions().maxCount);
     }
     std::fill(fleet.reaches.begin(), fleet.reaches.end(), true);
     fleet.advance(at(30));
-    CHECK(fleet.watching(at(30)) == StoreWatcherOptions().usual);
+    CHECK(fleet.watching(at(30)) == StoreWatcherOptions().baseCount);
 }
 
 TEST_CASE("store refuses single hosts: another gateway reaches it within a second and a half")
@@ -72,7 +72,7 @@
         fleet.advance(at(0));
         std::fill_n(fleet.reaches.begin(), refused, false);
         double now = 0.1;
-        for (; !fleet.isReached(at(now)) && now < 10; now += 0.1) {
+        for (; !fleet.isStoreReachable(at(now)) && now < 10; now += 0.1) {
             fleet.advance(at(now));
         }
         CHECK(now <= 1.5);
@@ -85,10 +85,10 @@
     const StoreWatchers watchers;
     int reading = 0;
     for (int ahead = 0; ahead < 301; ++ahead) {
-        reading += watchers.sourceAtStart(301, ahead) == TableSource::Store ? 1 : 0;
+        reading += watchers.initialSource(301, ahead) == TableSource::Store ? 1 : 0;
     }
-    CHECK(reading == StoreWatcherOptions().most);
+    CHECK(reading == StoreWatcherOptions().maxCount);
     for (int ahead = 0; ahead < 30; ++ahead) {
-        CHECK(watchers.sourceAtStart(30, ahead) == TableSource::Store);
+        CHECK(watchers.initialSource(30, ahead) == TableSource::Store);
     }
 }
--- a/tests/unit_targets.cpp
+++ b/tests/unit_targets.cpp
@@ -34,8 +34,8 @@
 TEST_CASE("changes that arrive out of order leave the newest row")
 {
     RowMirror mirror;
-    REQUIRE(mirror.takeChanges({row("a", 5, "new")}).size() == 1);
-    REQUIRE(mirror.takeChanges({row("a", 3, "old")}).empty());
+    REQUIRE(mirror.applyChanges({row("a", 5, "new")}).size() == 1);
+    REQUIRE(mirror.applyChanges({row("a", 3, "old")}).empty());
     REQUIRE(mirror.rows().front().value == "new");
     REQUIRE(mirror.version() == RowVersion(5));
 }
@@ -45,33 +45,33 @@
     // A row forwarded by one gateway arrives after another gateway's notice that the row was removed. If the row were restored, the target would
     // get requests that it can't take until the whole table is read again.
     RowMirror mirror;
-    mirror.takeChanges({row("a", 5)});
-    REQUIRE(mirror.takeChanges({{"a", RowVersion(6), "", true}}).size() == 1);
-    REQUIRE(mirror.takeChanges({row("a", 5)}).empty());
+    mirror.applyChanges({row("a", 5)});
+    REQUIRE(mirror.applyChanges({{"a", RowVersion(6), "", true}}).size() == 1);
+    REQUIRE(mirror.applyChanges({row("a", 5)}).empty());
     REQUIRE(mirror.rows().empty());
-    REQUIRE(mirror.takeChanges({row("a", 7)}).size() == 1);
+    REQUIRE(mirror.applyChanges({row("a", 7)}).size() == 1);
 }
 
 TEST_CASE("reading the whole table removes rows that aren't in it, except newer ones")
 {
     RowMirror mirror;
     REQUIRE_FALSE(mirror.isLoaded());
-    mirror.takeChanges({row("old", 2), row("newer", 12)});
-    const auto news = mirror.takeTable({row("kept", 4)}, RowVersion(10));
+    mirror.applyChanges({row("old", 2), row("newer", 12)});
+    const auto news = mirror.applySnapshot({row("kept", 4)}, RowVersion(10));
     REQUIRE(mirror.isLoaded());
     REQUIRE(news.size() == 2);
     REQUIRE(mirror.rows().size() == 2);
-    REQUIRE(mirror.takeChanges({row("old", 9)}).empty());
+    REQUIRE(mirror.applyChanges({row("old", 9)}).empty());
 }
 
 TEST_CASE("mirrors that applied the same rows in a different order have the same checksum")
 {
     RowMirror one;
     RowMirror two;
-    one.takeChanges({row("a", 1), row("b", 2), row("a", 3)});
-    two.takeChanges({row("a", 3), row("b", 2)});
+    one.applyChanges({row("a", 1), row("b", 2), row("a", 3)});
+    two.applyChanges({row("a", 3), row("b", 2)});
     REQUIRE(one.checksum() == two.checksum());
-    two.takeChanges({row("c", 4)});
+    two.applyChanges({row("c", 4)});
     REQUIRE(one.checksum() != two.checksum());
 }
 
