--- a/src/core/breaker.cpp
+++ b/src/core/breaker.cpp
@@ -42,7 +42,7 @@
 
 auto Breaker::succeeded() -> void
 {
-    // An answer to a call of before the opening counts as well: the server lives.
+    // This includes the answer to a call that was started before the breaker opened: it shows that the server is available.
     m_failures = 0;
     m_pause.reset();
     m_state = BreakerState::Closed;
--- a/src/core/breaker.h
+++ b/src/core/breaker.h
@@ -1,5 +1,5 @@
-// A circuit breaker: after several failures in a row a server is left alone for a while, then tried with one call. Without it every
-// caller of a dead store would wait out its own timeout, and a store that struggles to its feet would be knocked down again. Pure.
+// A circuit breaker: after several failures in a row a server gets no calls for a while and is then probed with one call. Without it every caller of an
+// unavailable store would wait for its own timeout, and a store that is recovering would be overloaded again. No I/O.
 #pragma once
 
 #include "core/backoff.h"
@@ -12,13 +12,14 @@
 
 struct BreakerOptions {
     int failuresToOpen = 5; ///< in a row
-    BackoffOptions pause {.initial = Duration::millis(250), .max = Duration::seconds(5)}; ///< how long it stays open
+    /// Time for which the breaker stays open; longer after each failed probe.
+    BackoffOptions pause {.initial = Duration::millis(250), .max = Duration::seconds(5)};
 };
 
 enum class BreakerState {
-    Closed, ///< calls go through
-    Open, ///< calls are refused at once
-    Probing, ///< one call is on its way to see whether the server is back
+    Closed, ///< calls are allowed
+    Open, ///< calls are refused until the pause ends
+    Probing, ///< one call is in flight that tests whether the server is available again
 };
 auto toString(BreakerState state) -> const char *;
 
@@ -31,7 +32,7 @@
     auto state() const -> BreakerState;
     auto mayCall(TimePoint now) const -> bool;
 
-    // Commands: each call that mayCall() allowed is reported as started, then as succeeded or failed.
+    // Commands: the owner reports each call that mayCall() allowed as started, then as succeeded or failed.
     auto started() -> void;
     auto succeeded() -> void;
     auto failed(TimePoint now) -> void;
--- a/src/core/claimrow.cpp
+++ b/src/core/claimrow.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-// Table values are text and an answer's body may be any bytes: each byte becomes the character of that number.
+// Table values are UTF-8 text, but an answer's body may hold any bytes: each byte is stored as the character with that code (Latin-1 to UTF-8).
 auto textFromBytes(const std::string &bytes) -> std::string
 {
     constexpr unsigned char FirstTwoByte = 0x80;
--- a/src/core/crashrepeats.cpp
+++ b/src/core/crashrepeats.cpp
@@ -9,7 +9,7 @@
 
 auto requestFingerprint(std::string_view host, std::string_view path, std::string_view body) -> std::uint64_t
 {
-    // The body's hash stands for it: bodies may be megabytes.
+    // The body's hash is used instead of the body, which may have megabytes.
     std::string text(host);
     text.append(path).append("\n").append(std::to_string(stableHash(body)));
     return stableHash(text);
--- a/src/core/crashrepeats.h
+++ b/src/core/crashrepeats.h
@@ -1,11 +1,11 @@
-// Requests that take down each target that runs them, and come again. The third target that broke off in a row while it ran the same request is
-// the last one: sent on, such a request would empty a service one target after the other, at any entry that it reaches.
+// Detects a request that crashes each target that runs it and is repeated by its client. The third target in a row that breaks off while it runs the same
+// request is the last: after it the request is barred, that is, refused. Otherwise the repeats, at whichever gateway, would take down all targets of a
+// service one after the other.
 //
-// Only breaks one after the other count, and some time apart: when many targets fail at once, or one is down and breaks off whatever it gets,
-// each request breaks off, maybe several times within moments, and is none of these. And whatever came to a good end once takes nothing
-// down.
+// Breaks count only one after the other and some time apart. If many targets fail at the same time, or one is down and breaks off everything it gets, a
+// request may break off several times within moments without being the cause. A request that has succeeded once isn't suspected any more.
 //
-// Load pattern: a client repeats one request each second or so, at any entry; each try kills a target for some seconds. Pure.
+// Load pattern: a client repeats one request about every second, at any gateway, and each attempt crashes a target for some seconds. No I/O.
 #pragma once
 
 #include "core/units.h"
@@ -18,14 +18,13 @@
 {
 
 struct CrashRepeatOptions {
-    int breaksToBar = 3; ///< targets; the least that tells such a request from two accidents of targets within the lifetime
-    Duration minInterval
-        = Duration::millis(900); ///< between breaks that count; a crashed target is down for longer, and clients come again after about a second
-    Duration lifetime = Duration::seconds(120); ///< after the last break; who repeats a request does so within its patience, some seconds
-    std::size_t maxRecords = 4096; ///< requests remembered; beyond, no further ones are
+    int breaksToBar = 3; ///< breaks after which a request is barred; the smallest number that two unrelated target failures within the lifetime don't reach
+    Duration minInterval = Duration::millis(900); ///< between breaks that count; a crashed target is down for longer, and clients repeat after about a second
+    Duration lifetime = Duration::seconds(120); ///< of a record after its last break; clients repeat a request within some seconds
+    std::size_t maxRecords = 4096; ///< requests with a record; beyond it no further requests are recorded
 };
 
-/// The same for requests with the same host, path and body.
+/// A fingerprint that is equal for requests with the same host, path and body.
 auto requestFingerprint(std::string_view host, std::string_view path, std::string_view body) -> std::uint64_t;
 
 class CrashRepeats
@@ -33,16 +32,16 @@
 public:
     explicit CrashRepeats(CrashRepeatOptions options = {});
 
-    auto isEmpty() const -> bool; ///< nothing is suspected: fingerprints needn't be made
-    auto isBarred(std::uint64_t fingerprint, TimePoint now) const -> bool;
-    auto breaks(std::uint64_t fingerprint) const -> int;
+    auto isEmpty() const -> bool; ///< there is no record, so fingerprints needn't be computed
+    auto isBarred(std::uint64_t fingerprint, TimePoint now) const -> bool; ///< the request must not be sent to a target
+    auto breaks(std::uint64_t fingerprint) const -> int; ///< counted so far
 
-    /// The target broke off while it ran the request. True if that counts: other entries are to be notified then.
+    /// The target broke off while it ran the request. Returns whether the break counts; if so, the other gateways must be notified.
     auto targetBrokeOff(std::uint64_t fingerprint, TimePoint sentAt, TimePoint now) -> bool;
-    auto succeeded(std::uint64_t fingerprint) -> void;
-    /// Another entry has counted that many.
+    auto succeeded(std::uint64_t fingerprint) -> void; ///< a run came to a good end: drops the record
+    /// Another gateway has counted this many breaks.
     auto reported(std::uint64_t fingerprint, int breaks, TimePoint now) -> void;
-    auto expire(TimePoint now) -> void; ///< call every second or so
+    auto expire(TimePoint now) -> void; ///< drops records after their lifetime; call about once a second
 
 private:
     struct Record {
--- a/src/core/eventcursor.cpp
+++ b/src/core/eventcursor.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/// Where the first whole event ends: behind its blank line; npos if there is none yet.
+/// The position after the blank line that ends the first event; npos if that event is incomplete.
 auto eventEnd(std::string_view text) -> std::size_t
 {
     for (std::size_t i = 0; i + 1 < text.size(); ++i) {
--- a/src/core/eventcursor.h
+++ b/src/core/eventcursor.h
@@ -1,5 +1,5 @@
-// Events of a stream, whole ones with their ids, whatever pieces their bytes come in: an event that was cut must not reach a caller whose
-// stream goes on at another target. Pure.
+// Splits a byte stream of server-sent events into whole events and remembers the last event id. Bytes may arrive in pieces of any size. An event that was
+// cut off must not be passed to a caller whose stream is resumed at another target. No I/O.
 #pragma once
 
 #include <functional>
@@ -12,12 +12,12 @@
 class EventCursor
 {
 public:
-    /// `onEvent` sees each whole event, its blank line included.
+    /// `onEvent` is called with each whole event, including the blank line at its end.
     explicit EventCursor(std::function<void(std::string_view raw)> onEvent, std::size_t maxEvent = 1U << 20U);
 
-    auto lastId() const -> const std::string &; ///< of the last whole event; empty: none had one
-    auto hasPartial() const -> bool; ///< bytes of an event that isn't whole
-    auto isTooLong() const -> bool; ///< an event is longer than maxEvent; nothing more is read
+    auto lastId() const -> const std::string &; ///< of the last whole event that had an id; empty if there was none
+    auto hasPartial() const -> bool; ///< there are buffered bytes of an incomplete event
+    auto isTooLong() const -> bool; ///< an event is longer than maxEvent; further bytes are ignored
 
     auto feed(std::string_view bytes) -> void;
     auto dropPartial() -> void;
--- a/src/core/eventstream.cpp
+++ b/src/core/eventstream.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view DonePayload = "[DONE]";
 
-/// The end of the first event, behind its blank line; npos if it isn't whole.
+/// The position after the blank line that ends the first event; npos if that event is incomplete.
 auto eventEnd(std::string_view bytes) -> std::size_t
 {
     for (std::size_t at = bytes.find('\n'); at != std::string_view::npos; at = bytes.find('\n', at + 1)) {
@@ -23,7 +23,7 @@
     return std::string_view::npos;
 }
 
-/// The "data:" lines of an event, joined by line ends.
+/// The values of an event's "data:" lines, joined by newlines.
 auto dataOf(std::string_view event) -> std::string
 {
     constexpr std::string_view Field = "data:";
--- a/src/core/eventstream.h
+++ b/src/core/eventstream.h
@@ -1,7 +1,7 @@
-// Server-sent events, as far as completions use them: events of "data:" lines, the last one "[DONE]". Pure; bytes may arrive in any
-// pieces.
+// A reader for server-sent events as completions use them: events of "data:" lines, of which the last is "[DONE]". Bytes may arrive in pieces of any size.
+// No I/O.
 //
-// A completion that ends without its [DONE] isn't whole: the engine died or was cut off, however orderly the connection closed.
+// A completion that ends without "[DONE]" is incomplete, even if the connection was closed in an orderly way: the engine crashed or was cut off.
 #pragma once
 
 #include <cstddef>
@@ -15,14 +15,14 @@
 class EventStreamReader
 {
 public:
-    /// `onEvent` sees the data of each event but [DONE], and the event's bytes as they were sent, blank line included.
+    /// Called for each event except [DONE], with its data and with its bytes as received, including the blank line at the end.
     using EventHook = std::function<void(std::string_view data, std::string_view raw)>;
 
     explicit EventStreamReader(EventHook onEvent, std::size_t maxEvent = 1U << 20U);
 
-    auto isDone() const -> bool; ///< [DONE] was seen
-    auto isMalformed() const -> bool; ///< an event is longer than maxEvent; nothing more is read
-    auto events() const -> std::size_t; ///< seen so far, without [DONE]
+    auto isDone() const -> bool; ///< [DONE] was received
+    auto isMalformed() const -> bool; ///< an event is longer than maxEvent; further bytes are ignored
+    auto events() const -> std::size_t; ///< events with data received so far, without [DONE]
 
     auto feed(std::string_view bytes) -> void;
 
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -13,8 +13,8 @@
 struct Outstanding {
     EngineOrder order;
     TimePoint sentAt;
-    std::uint64_t generation = 0; ///< of the engine, as known when the order was sent
-    bool isInStatus = false; ///< the last status shows it under way, so the status already charges it
+    std::uint64_t generation = 0; ///< of the engine, as known when the order was created
+    bool isInStatus = false; ///< the last status lists the load as in progress, so its memory is charged already
 };
 
 auto bytesOf(const std::vector<EngineArtifact> &artifacts) -> Bytes
@@ -65,13 +65,13 @@
     TimePoint startedAt;
     std::uint64_t nextId = 1;
     bool open = false;
-    std::optional<EngineStatus> status; ///< the last one adopted
-    TimePoint statusReceivedAt; ///< when the answer came
-    std::optional<TimePoint> pendingStatusRequest; ///< a status asked for and not answered yet
+    std::optional<EngineStatus> status; ///< the last one accepted
+    TimePoint statusReceivedAt; ///< when that status arrived
+    std::optional<TimePoint> pendingStatusRequest; ///< when the status request was sent that has no answer yet
     std::optional<TimePoint> lastStatusRequest;
-    std::optional<Fence> openingFence; ///< orders below this are a predecessor's; none until a first status shows where to start
-    Fence fence; ///< for orders; the highest shown by the engine or answered to a raise
-    std::optional<Fence> pendingRaise; ///< sent and not answered yet
+    std::optional<Fence> openingFence; ///< orders with a lower fence are from earlier agents; none until the first status shows the engine's fence
+    Fence fence; ///< for new orders: the highest in a status or in the answer to a raise
+    std::optional<Fence> pendingRaise; ///< fence of a raise that has no answer yet
     TimePoint raiseSentAt;
     std::map<ArtifactName, Outstanding> outstanding; ///< one per artifact
 
@@ -100,25 +100,25 @@
 MemoryLedger::MemoryLedger(MemoryLedger &&) noexcept = default;
 auto MemoryLedger::operator=(MemoryLedger &&) noexcept -> MemoryLedger & = default;
 
-// Whether the status, asked for at `requestedAt`, is the final state of an order.
+// Whether the status that was requested at `requestedAt` proves that an order has taken effect or can't any more.
 //
-// A status that shows its effect proves that it is done, because an order id takes effect once and nobody else gives orders. One that
-// doesn't show it proves nothing while the order may be on its way: taking it for "lost" would free memory that the late order then
-// takes, and one would notice an engine out of memory. The order is off its way once the engine shows a higher fence than the order's,
-// or once the longest delay lay between the order's sending and the question.
+// A status that shows the order's effect proves the former, because an order id takes effect once and nobody else gives orders. A status that doesn't show
+// it proves nothing while the order may still take effect: if the order were taken for lost, its memory would be given away, and the engine would run out of
+// memory once the late order takes effect. An order can't take effect any more once the engine reports a higher fence than the order's, or if the status
+// was requested at least longestOrderDelay after the order was sent.
 auto MemoryLedger::Private::isSettled(const Outstanding &entry, TimePoint requestedAt) const -> bool
 {
     const auto &name = entry.order.artifact;
     if (entry.order.kind == OrderKind::Load && (containsOrder(status->loading, entry.order.id) || containsArtifact(status->resident, name))) {
-        return true; // the status charges it from here on
+        return true; // its memory is charged through the status from now on
     }
-    // After a crash the artifact is gone without the unload, which may still arrive at the new engine.
+    // After a crash the artifact is absent without the unload having taken effect; the unload may still arrive at the restarted engine.
     const bool sameEngine = status->generation == entry.generation;
     if (entry.order.kind == OrderKind::Unload && sameEngine && !containsArtifact(status->resident, name)) {
         return true;
     }
     if (checksFence() && status->fence > entry.order.fence) {
-        return true; // refused from the moment of this status at the latest
+        return true; // the engine refuses the order since this status at the latest
     }
     return requestedAt >= entry.sentAt + settings.longestOrderDelay;
 }
@@ -128,7 +128,7 @@
     std::erase_if(outstanding, [&](const auto &item) { return isSettled(item.second, requestedAt); });
 }
 
-// A restarted agent has forgotten its orders. Until none of them can take effect, what the status leaves free isn't free.
+// A restarted agent doesn't know the orders of before. Memory that is free by the status may not be used until none of those can take effect.
 auto MemoryLedger::Private::tryOpen(TimePoint requestedAt) -> void
 {
     if (requestedAt >= startedAt + settings.longestOrderDelay) {
@@ -297,7 +297,7 @@
 {
     const bool raiseTimedOut = d->pendingRaise && now - d->raiseSentAt >= d->settings.answerTimeout;
     if (raiseTimedOut) {
-        return {LedgerAction::Kind::RaiseFence, *d->pendingRaise}; // the same number: whether the first raise arrived doesn't matter
+        return {LedgerAction::Kind::RaiseFence, *d->pendingRaise}; // the same fence, so it doesn't matter whether the first raise arrived
     }
     if (!d->pendingRaise && d->needsFenceRaise(now)) {
         return {LedgerAction::Kind::RaiseFence, d->open ? d->fence.next() : *d->openingFence};
@@ -342,7 +342,7 @@
         std::erase_if(d->outstanding, [&](const auto &item) { return item.second.order.id == id; });
         return;
     }
-    // Accepted or lost, it stays charged until a status settles it: an accepted order may take effect long after its answer.
+    // An accepted or lost order stays charged until a status settles it: an accepted order may take effect long after its answer.
 }
 
 auto MemoryLedger::statusRequested(TimePoint now) -> void
@@ -356,8 +356,8 @@
     if (d->pendingStatusRequest && *d->pendingStatusRequest <= requestedAt) {
         d->pendingStatusRequest.reset();
     }
-    // Of two questions under way at once the later one may be answered with the older truth, and would bring back a past state, with memory
-    // free that is taken since. A question sent after the last answer came can't.
+    // If two status requests were in flight at once, the answer that arrives last may show an older state, in which memory is free that has been taken since.
+    // So a status counts only if it was not requested before the last one arrived.
     if (d->status && requestedAt < d->statusReceivedAt) {
         return;
     }
@@ -384,7 +384,7 @@
     d->fence = std::max(d->fence, fence);
     d->pendingRaise.reset();
     d->pendingStatusRequest.reset();
-    d->lastStatusRequest.reset(); // the truth asked for from now on settles the older orders: ask at once
+    d->lastStatusRequest.reset(); // a status requested from now on settles the older orders: request one at once
 }
 
 auto MemoryLedger::fenceUnsupported() -> void
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -89,9 +89,8 @@
 
 auto Membership::listReceived(const std::vector<ListedHost> &hosts, TimePoint now) -> void
 {
-    // A list service that restarts empty, or lost a shard, would make us drop healthy targets all at once. One notices a large share
-    // of members missing from one answer to the next while they still send heartbeats. So such a list is believed only once it has
-    // said the same for a while; until then additions count and removals don't.
+    // If the list service restarts empty or loses a shard, its list would remove many healthy members at once. Such a list lacks a large share of the listed
+    // members that still send heartbeats. Its additions are applied at once, its removals only after it has lacked that many for distrustPeriod.
     std::set<std::string> listed;
     for (const auto &host : hosts) {
         listed.insert(host.id);
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,9 +1,9 @@
-// Who is there: from the platform's lagging list, which only proposes, and from heartbeats, which decide.
+// Which hosts are members and alive. The platform's host list, which lags, only proposes members; heartbeats decide which of them are live.
 //
 // Index of sections (search for [SECTION]):
-//   Input        the platform's list
+//   Input        entries of the platform's host list
 //   Ranking      rendezvous hashing over members
-//   Membership   the state
+//   Membership   the members and their states
 #pragma once
 
 #include "core/endpoint.h"
@@ -28,12 +28,12 @@
     ZoneName zone;
     Endpoint endpoint;
     bool leaving = false;
-    double processorShare = 1; ///< cores that are its own, where known
+    double processorShare = 1; ///< cores that the process may use; 1 if unknown
 };
 
 // [SECTION] Ranking
 
-/// Members by descending rendezvous score for the subject. The same everywhere that the same members are known.
+/// Members by descending rendezvous score for the subject. The result is the same on all processes that know the same members.
 auto rankMembers(const std::string &subject, std::vector<std::string> members) -> std::vector<std::string>;
 /// The first `count` of the ranking.
 auto memberSubset(const std::string &subject, std::vector<std::string> members, std::size_t count) -> std::vector<std::string>;
@@ -41,11 +41,11 @@
 // [SECTION] Membership
 
 enum class MemberState {
-    Proposed, ///< listed, never seen
+    Proposed, ///< listed; nothing received from it since it was listed, moved or returned
     Live,
-    Suspect, ///< silent for a while: gets no new work while others are there
-    Dead, ///< silent for long
-    Leaving, ///< said so itself, or the list did
+    Suspect, ///< silent for suspectAfter, or its connection was lost: gets no new work while others are live
+    Dead, ///< silent for deadAfter
+    Leaving, ///< reported by the host itself or by the list
 };
 auto toString(MemberState state) -> const char *;
 
@@ -59,9 +59,9 @@
 struct MembershipOptions {
     Duration suspectAfter = Duration::seconds(1.5); ///< three heartbeats missed
     Duration deadAfter = Duration::seconds(5);
-    Duration forgetAfter = Duration::seconds(300); ///< neither listed nor seen
-    double distrustedLossShare = 0.5; ///< a list that drops this share or more of the members at once isn't believed...
-    Duration distrustPeriod = Duration::seconds(60); ///< ...until it has said so for this long
+    Duration forgetAfter = Duration::seconds(300); ///< without messages, until a member that isn't listed is dropped
+    double distrustedLossShare = 0.5; ///< a list that lacks this share or more of the listed members isn't trusted...
+    Duration distrustPeriod = Duration::seconds(60); ///< ...until it has lacked them for this long
 };
 
 class Membership
@@ -71,19 +71,20 @@
 
     // Queries
     auto find(const std::string &id) const -> std::optional<Member>;
-    auto members(HostRole role) const -> std::vector<Member>; ///< in id order, all states
-    auto live(HostRole role) const -> std::vector<std::string>; ///< live ones' ids, in order
-    auto isListTrusted() const -> bool; ///< false while the platform's list is held to be wrong
-    /// Whether `id` ranks first among live entries for the subject.
+    auto members(HostRole role) const -> std::vector<Member>; ///< in all states, ordered by id
+    auto live(HostRole role) const -> std::vector<std::string>; ///< ids of the live members, in order
+    auto isListTrusted() const -> bool; ///< false while removals of the platform's list are ignored
+    /// Whether `id` ranks first for the subject among the live members with the role Entry.
     auto ranksFirst(const std::string &subject, const std::string &id) const -> bool;
 
     // Commands
     auto listReceived(const std::vector<ListedHost> &hosts, TimePoint now) -> void;
-    auto seen(const std::string &id, TimePoint now) -> void; ///< a heartbeat or any message
-    auto reportedLeaving(const std::string &id) -> void;
-    auto reportedStaying(const std::string &id) -> void; ///< its drain was undone, or a new process took the place; the list's mark stands
-    auto connectionLost(const std::string &id) -> void; ///< suspect at once
-    auto advance(TimePoint now) -> void; ///< lets silence have its effect; call a few times a second
+    auto seen(const std::string &id, TimePoint now) -> void; ///< a heartbeat or any other message was received
+    auto reportedLeaving(const std::string &id) -> void; ///< by the member itself
+    /// The member's drain was undone, or a new process replaced it. Has no effect while the list says that the host leaves.
+    auto reportedStaying(const std::string &id) -> void;
+    auto connectionLost(const std::string &id) -> void; ///< makes a live member suspect at once
+    auto advance(TimePoint now) -> void; ///< updates the states of silent members; call a few times a second
 
 private:
     auto mergeListed(const std::vector<ListedHost> &hosts, TimePoint now) -> void;
--- a/src/core/orderlease.cpp
+++ b/src/core/orderlease.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr std::size_t MaxRemembered = 256; ///< own writes and digests
+constexpr std::size_t MaxRemembered = 256; ///< own writes, and own digests
 
-/// Spreads the gateways' tries: the same for one start of a gateway.
+/// Spreads the first attempts of the gateways over `range`. Constant for one run of a gateway process.
 auto staggerDelay(const HolderName &self, Duration range) -> Duration
 {
     constexpr std::uint64_t StaggerSteps = 16;
@@ -29,7 +29,7 @@
     }
 }
 
-/// The row: "SELF NUMBER CANDIDATE,CANDIDATE", the last part only where there are candidates.
+/// The row's text: "WRITER NUMBER CANDIDATE,CANDIDATE", without the last part if there are no candidates. NUMBER counts the writer's writes.
 struct LeaseRow {
     HolderName writer;
     std::uint64_t number = 0;
@@ -119,7 +119,7 @@
     return m_version;
 }
 
-/// When the digest left that this peer has confirmed last; none if there is none.
+/// When the digest was sent that this peer confirmed last.
 auto OrderLease::confirmedAt(const EntryId &peer) const -> std::optional<TimePoint>
 {
     const auto known = m_confirmedDigests.find(peer);
@@ -154,7 +154,8 @@
     return oldest;
 }
 
-/// Candidates by the row, whichever of the writes since the last certain one it shows; none if all gateways are.
+/// Gateways whose confirmation extends the lease: the candidates of the last write known to have taken effect and of every later write, since any of these
+/// may be in the row, and peers that ignore candidates. None if all gateways are candidates.
 auto OrderLease::requiredConfirmers() const -> std::optional<std::set<EntryId>>
 {
     auto all = m_peersIgnoringCandidates;
@@ -220,7 +221,7 @@
     const auto row = readLeaseRow(value);
     m_isCandidate = row.candidates.empty() || row.candidates.contains(gatewayIdOf(m_self));
     if (row.writer == m_self) {
-        // A write of ours whose answer was lost has taken effect; its time counts from when it left.
+        // An own write whose answer was lost has taken effect. The lease counts from when it was sent.
         const auto sent = m_writes.find(row.number);
         if (sent == m_writes.end()) {
             lose();
@@ -239,17 +240,17 @@
         lose();
     }
     if (version == RowVersion()) {
-        return; // nobody has it: write
+        return; // there is no holder: the next step is a write
     }
     m_holder = row.writer;
     const auto until = takeoverAllowedAt();
     if (now < until) {
-        m_mustRead = true; // once more at the end, to see whether it is still the same
-        m_nextAttempt = std::min(until, now + m_options.duration); // a newer row may name this gateway a candidate
+        m_mustRead = true; // at the end of the wait, to see whether the row is unchanged
+        m_nextAttempt = std::min(until, now + m_options.duration); // read earlier, as a newer row may name this gateway as a candidate
     }
 }
 
-/// From when on the row may be taken from the one that wrote it.
+/// The earliest time at which this gateway may take the row from its writer.
 auto OrderLease::takeoverAllowedAt() const -> TimePoint
 {
     if (gatewayIdOf(m_holder) == gatewayIdOf(m_self)) {
@@ -275,7 +276,8 @@
     m_renewedAt = std::max(m_renewedAt, m_writes[m_lastWrite].sentAt);
     m_lastEffectiveWrite = m_lastWrite;
     if (!m_holds) {
-        // The fence stays for the tenure: orders of one holder with different numbers could overtake each other.
+        // The fence is the same for the whole term: if the orders of one holder had different fences, a later one that arrives first would block an earlier
+        // one.
         m_holds = true;
         m_fence = Fence(version.value());
     }
@@ -310,7 +312,7 @@
 auto OrderLease::holderAnnounced(const HolderName &holder, Fence fence, std::uint64_t sequence, RowVersion version, TimePoint now) -> void
 {
     if (holder == m_self || (m_holds && fence < m_fence)) {
-        return; // an older holder that doesn't know yet
+        return; // own digest, or one of a former holder that doesn't know yet that it was succeeded
     }
     m_holder = holder;
     m_holderSequence = sequence;
@@ -319,7 +321,8 @@
         m_version = version;
         m_versionSeenAt = now;
         m_isRowKnown = true;
-        // A write that was decided on the version before would now be accepted, though its holder has renewed the lease.
+        // The decision to write was based on the former version. A write that expects the new version would be accepted although the holder has just renewed
+        // the lease, so the row is read first.
         m_mustRead = true;
     }
 }
--- a/src/core/orderlease.h
+++ b/src/core/orderlease.h
@@ -1,23 +1,24 @@
-// The lease of the one gateway that gives orders to runners: a row of the store that is changed under conditions, renewed while it is
-// held, and taken over when its holder is gone. Pure: what was read, written and received goes in with a time; the next step comes out.
+// The lease of the one gateway that gives orders to runners: a row of the store that is changed by conditional writes, renewed while it is held, and taken
+// over when its holder has gone. No I/O: rows read, outcomes of writes and digests received go in with a time; the next step comes out.
 //
-// Two holders must never give orders at once: runners of some deployments act on whatever order comes. So
-//   - a holder stops before its time is over, counted from before the write that renewed it left;
-//   - a successor takes the row only if it saw it unchanged for a whole lease, by its own clock, and received nothing from the holder as long;
-//   - but a gateway that has started again on the holder's own host knows that the holder has ended, as one host runs one gateway: it only
-//     waits until the last orders of before have arrived. When all gateways were killed at once, runners are without orders for a second in place of four.
-// No two clocks are compared. They must count the time that a host was suspended.
+// Two holders must never give orders at the same time, since the runners of some deployments act on any order that arrives. Therefore
+//   - a holder stops before its lease ends; the lease counts from before the write that renewed it was sent;
+//   - a successor takes the row only if, by its own clock, for a whole lease the row didn't change and no digest arrived from the holder;
+//   - a gateway that restarted on the holder's own host waits only until the last orders of the former process have arrived: one host runs one
+//     gateway, so that process has ended. If all gateways are killed at once, runners are without orders for one second instead of four.
+// Clocks of different hosts are never compared. Each must count the time for which its host was suspended.
 //
-// The second condition lets a holder go on while the store is away: as long as every gateway that may succeed it has lately confirmed its digests, none of
-// them can have begun to count. A store that is away for seconds would otherwise leave every request waiting that needs an adapter loaded.
+// The second condition lets a holder continue while the store is unavailable: as long as every gateway that may succeed it has recently confirmed one of
+// its digests, none of them can have waited a whole lease. Otherwise each request that needs an adapter loaded would wait while the store is unavailable.
 //
-// Of a hundred gateways one is always restarting or gone. So the holder names a few candidates in the row, chosen from those that are alive, and needs the
-// confirmation of these only. Any other gateway waits much longer for an unchanged row, and the holder doesn't rely on the candidates alone for as long.
+// Among a hundred gateways one is always restarting or gone. So the holder names a few live gateways in the row as candidates and needs the confirmation
+// of these only. Any other gateway waits much longer for an unchanged row (nonCandidateWait), and the holder relies on the candidates alone for less than
+// that time.
 //
 // Index of sections (search for [SECTION]):
-//   Candidates   who may succeed a holder soon
-//   Steps        what the owner is to do
-//   OrderLease   the state
+//   Candidates   gateways that may succeed the holder without the longer wait
+//   Steps        reads and writes of the row that the owner has to perform
+//   OrderLease   the state machine
 #pragma once
 
 #include "core/ids.h"
@@ -38,39 +39,40 @@
 struct LeaseMember {
     EntryId id;
     ZoneName zone;
-    double processorShare = 1; ///< cores of its host that are its own
+    double processorShare = 1; ///< cores of its host that this gateway may use
 };
 
-/// Gateways with much processor time first, one of each availability zone before a second one. All gateways rank them alike.
+/// At most `count` gateways: those with the most cores first, and one of each availability zone before a second one of any. The choice is the same on all
+/// gateways that know the same live ones.
 auto chooseLeaseCandidates(std::vector<LeaseMember> alive, std::size_t count) -> std::vector<EntryId>;
 
 // [SECTION] Steps
 
-/// One start of a gateway: "ID#INCARNATION".
+/// One run of a gateway process: "ID#INCARNATION".
 using HolderName = StrongName<struct HolderNameTag>;
 
-/// "ID" of it.
+/// The "ID" part of the name.
 auto gatewayIdOf(const HolderName &holder) -> std::string;
 
 enum class LeaseStep {
     None,
-    Read, ///< the row, then rowRead()
-    Write, ///< the row under the version that writeStarted() answers, then written() and its kin
+    Read, ///< read the row, then call rowRead() or readFailed()
+    Write, ///< write what writeStarted() returns, then call writeCommitted(), writeRefused() or writeOutcomeUnknown()
 };
 
 struct LeaseWrite {
-    RowVersion expected; ///< 0: there must be no row
+    RowVersion expected; ///< write only if the row has this version; 0: only if there is no row
     std::string value;
 };
 
 struct OrderLeaseOptions {
     Duration duration = Duration::seconds(3);
-    Duration margin = Duration::millis(300); ///< a holder stops this long before its time is over: an order under way still has to arrive
-    Duration renewAfter = Duration::millis(1200); ///< two more tries fit into the rest of a lease of 3 s
-    Duration retryAfter = Duration::millis(300); ///< between tries that failed
-    Duration stagger = Duration::millis(400); ///< gateways that want the row spread their tries over this
-    Duration nonCandidateWait = Duration::seconds(12); ///< for an unchanged row, of a gateway that is no candidate; four times the duration
-    Duration holderSilence = Duration::seconds(1); ///< without a digest of the holder before the row is looked at: five of its digests
+    Duration margin = Duration::millis(300); ///< a holder stops this long before its lease ends, so that an order in flight arrives in time
+    Duration renewAfter = Duration::millis(1200); ///< leaves time for two more attempts within a lease of 3 s
+    Duration retryAfter = Duration::millis(300); ///< after a failed attempt
+    Duration stagger = Duration::millis(400); ///< the first attempts of the gateways are spread over this time
+    Duration nonCandidateWait = Duration::seconds(12); ///< before a gateway that is no candidate takes an unchanged row; four times the duration
+    Duration holderSilence = Duration::seconds(1); ///< without a digest of the holder, before the row is read: the time of five digests
 };
 
 // [SECTION] OrderLease
@@ -81,12 +83,12 @@
     OrderLease(HolderName self, OrderLeaseOptions options, TimePoint startedAt);
 
     // Queries
-    auto mayOrder(TimePoint now) const -> bool;
-    auto isHolder() const -> bool; ///< it wrote the row last, as far as it knows; mayOrder() says whether that still counts
-    auto fence() const -> Fence; ///< of this tenure; 0: never held
-    auto holder() const -> const HolderName &; ///< as last received or read; may be this gateway
-    auto lastHolderSequence() const -> std::uint64_t; ///< of the holder's digests that were received
-    auto version() const -> RowVersion; ///< of the row, as last seen
+    auto mayOrder(TimePoint now) const -> bool; ///< this gateway holds the lease, and the lease is valid
+    auto isHolder() const -> bool; ///< this gateway wrote the row last, as far as it knows; mayOrder() says whether the lease is still valid
+    auto fence() const -> Fence; ///< of the current or last term; 0: never held
+    auto holder() const -> const HolderName &; ///< from the last digest or read; may be this gateway
+    auto lastHolderSequence() const -> std::uint64_t; ///< number of the last digest received from the holder
+    auto version() const -> RowVersion; ///< of the row as last read, written or announced
     auto nextStep(TimePoint now) const -> LeaseStep;
 
     // Commands: the row
@@ -94,36 +96,36 @@
     auto rowRead(RowVersion version, const std::string &value, TimePoint now) -> void; ///< version 0: there is no row
     auto writeStarted(TimePoint now) -> LeaseWrite;
     auto writeCommitted(RowVersion version, TimePoint now) -> void;
-    auto writeRefused(TimePoint now) -> void; ///< certainly without effect, or another version stands there: reads next
-    auto writeOutcomeUnknown(TimePoint now) -> void; ///< reads next, to see
+    auto writeRefused(TimePoint now) -> void; ///< without effect, or the row has another version: the next step is a read
+    auto writeOutcomeUnknown(TimePoint now) -> void; ///< the next step is a read, which shows whether the write took effect
     auto readFailed(TimePoint now) -> void;
 
     // Commands: other gateways
-    /// A digest of a gateway that holds the lease. `version`: of the row, as it wrote it last; that is as good as having read it, and the wait of a
-    /// successor doesn't begin only when the holder has been missed.
+    /// Received a digest of a gateway that holds the lease. `version`: of the row as the holder wrote it last. It counts like a read of the row, so that a
+    /// successor's wait begins with it and not only once the holder is found to be silent.
     auto holderAnnounced(const HolderName &holder, Fence fence, std::uint64_t sequence, RowVersion version, TimePoint now) -> void;
-    /// This gateway sends a digest with that number.
+    /// This gateway sends a digest with this sequence number.
     auto digestSent(std::uint64_t sequence, TimePoint now) -> void;
-    /// Another gateway says which of this gateway's digests it received last. A lease that is over isn't brought back by that: a gateway that
-    /// received nothing for long enough may have begun to take the row, and goes on receiving digests meanwhile. Only the row decides then.
+    /// Another gateway reports the last digest of this gateway that it received. This doesn't extend a lease that has ended: a gateway that received nothing
+    /// for long enough may be taking the row by now, and still receives digests meanwhile. After the end only the row decides.
     auto peerConfirmed(const EntryId &peer, std::uint64_t sequence, TimePoint now) -> void;
-    /// All other gateways. Where the row names no candidates, the extension needs the confirmation of each.
+    /// Sets all other gateways. If the row names no candidates, each of them must confirm digests for the lease to be extended while the store is unavailable.
     auto setPeers(const std::set<EntryId> &peers) -> void;
-    /// Other gateways that the next write of the row names.
+    /// Sets the other gateways that the next write of the row names as candidates.
     auto setCandidates(std::vector<EntryId> candidates) -> void;
-    /// This gateway doesn't know of candidates and takes the row as if it were one.
+    /// The peer runs a version that doesn't know candidates, and takes the row as if it were one.
     auto peerIgnoresCandidates(const EntryId &peer) -> void;
 
 private:
     struct Write {
         TimePoint sentAt;
-        std::vector<EntryId> candidates; ///< none: each gateway is one
+        std::vector<EntryId> candidates; ///< empty: every gateway is a candidate
     };
     auto validUntil() const -> TimePoint;
     auto confirmedAt(const EntryId &peer) const -> std::optional<TimePoint>;
-    auto confirmedByAll() const -> std::optional<TimePoint>; ///< when the oldest of the digests left that each has confirmed last
-    auto confirmedByCandidates() const -> std::optional<TimePoint>; ///< likewise; none also if all gateways are candidates
-    auto requiredConfirmers() const -> std::optional<std::set<EntryId>>;
+    auto confirmedByAll() const -> std::optional<TimePoint>; ///< when the oldest was sent of the digests that the peers confirmed last
+    auto confirmedByCandidates() const -> std::optional<TimePoint>; ///< the same for the required candidates; none also if all gateways are candidates
+    auto requiredConfirmers() const -> std::optional<std::set<EntryId>>; ///< none if all gateways are candidates
     auto takeoverAllowedAt() const -> TimePoint;
     auto lose() -> void;
     auto rowValue(std::uint64_t number) const -> std::string;
@@ -133,24 +135,24 @@
     TimePoint m_startedAt;
     bool m_holds = false;
     Fence m_fence;
-    RowVersion m_version; ///< of the row as last seen
-    TimePoint m_versionSeenAt; ///< since when it has that version, by own sight
+    RowVersion m_version; ///< of the row as last read, written or announced
+    TimePoint m_versionSeenAt; ///< when this gateway first saw that version
     bool m_isRowKnown = false;
     bool m_mustRead = true;
     bool m_isRequestInFlight = false;
     TimePoint m_nextAttempt;
-    TimePoint m_renewedAt; ///< when the last write that took effect left
-    std::map<std::uint64_t, Write> m_writes; ///< by number
+    TimePoint m_renewedAt; ///< when the last write that took effect was sent
+    std::map<std::uint64_t, Write> m_writes; ///< own ones, by number
     std::uint64_t m_lastWrite = 0;
-    std::uint64_t m_lastEffectiveWrite = 0; ///< the last one that is known to have taken effect
+    std::uint64_t m_lastEffectiveWrite = 0; ///< number of the last one known to have taken effect
     std::vector<EntryId> m_candidates; ///< for the next write
-    std::set<EntryId> m_peersIgnoringCandidates; ///< peers
-    bool m_isCandidate = true; ///< by the row as last read
+    std::set<EntryId> m_peersIgnoringCandidates;
+    bool m_isCandidate = true; ///< according to the row as last read
     HolderName m_holder;
     std::uint64_t m_holderSequence = 0;
     TimePoint m_holderSeenAt;
-    std::map<std::uint64_t, TimePoint> m_digestSentAt; ///< own ones, when each left
-    std::map<EntryId, std::uint64_t> m_confirmedDigests; ///< the last own digest that each has received; 0: none
+    std::map<std::uint64_t, TimePoint> m_digestSentAt; ///< of own digests, by sequence number
+    std::map<EntryId, std::uint64_t> m_confirmedDigests; ///< per peer: the last own digest that it confirmed; 0: none
 };
 
 } // namespace KingCup
--- a/src/core/rowmirror.cpp
+++ b/src/core/rowmirror.cpp
@@ -74,7 +74,7 @@
         if (row.isRemoved || row.version > upTo || present.contains(key)) {
             continue;
         }
-        // When it was removed isn't known, only that it was by then; a row that is made anew is newer than that.
+        // The version of the removal isn't known, only that it is at most `upTo`. A row that is created again has a higher version.
         replaceRow(row, {key, upTo, "", true});
         changed.push_back(row);
     }
--- a/src/core/rowmirror.h
+++ b/src/core/rowmirror.h
@@ -1,5 +1,5 @@
-// A copy of one table of the store, fed from more than one side: by an own watch, or by another gateway that has one. What is older than what
-// is known already changes nothing, so the sides may overlap and overtake each other. Pure.
+// A copy of one table of the store that may be fed from several sources: an own watch of the store, and other gateways that watch it. A row that isn't newer
+// than the known one is ignored, so messages of the sources may overlap and arrive in any order. No I/O.
 #pragma once
 
 #include "core/ids.h"
@@ -12,10 +12,10 @@
 namespace KingCup
 {
 
-/// A row as it stands, or that it is gone.
+/// A row's current value, or the fact that the row was removed.
 struct StoredRow {
     std::string key;
-    RowVersion version; ///< of the row's last change; counts over the whole store
+    RowVersion version; ///< of the row's last change; versions rise over the whole store
     std::string value;
     bool isRemoved = false;
 };
@@ -23,21 +23,21 @@
 class RowMirror
 {
 public:
-    auto isLoaded() const -> bool; ///< the whole table was taken once
-    auto version() const -> RowVersion; ///< of the newest change that is known
-    auto checksum() const -> std::uint64_t; ///< over keys and versions: the same where the same rows are known
-    auto rows() const -> std::vector<StoredRow>; ///< those that exist, in key order
+    auto isLoaded() const -> bool; ///< a whole table was applied at least once
+    auto version() const -> RowVersion; ///< of the newest known change
+    auto checksum() const -> std::uint64_t; ///< over keys and versions of the existing rows: equal for mirrors with the same rows
+    auto rows() const -> std::vector<StoredRow>; ///< existing rows, ordered by key
 
-    /// The whole table as of `upTo`: what isn't in it was removed by then. Returns what that changes.
+    /// Applies the whole table as of version `upTo`: a known row that isn't in it was removed by then. Returns the rows that this changed.
     auto applySnapshot(const std::vector<StoredRow> &rows, RowVersion upTo) -> std::vector<StoredRow>;
-    /// Rows that were changed or removed. Returns those that are news.
+    /// Applies rows that were changed or removed. Returns those that are newer than the known ones.
     auto applyChanges(const std::vector<StoredRow> &rows) -> std::vector<StoredRow>;
 
 private:
     auto applyRow(const StoredRow &row) -> bool;
     auto replaceRow(StoredRow &into, const StoredRow &row) -> void;
 
-    std::map<std::string, StoredRow> m_rows; ///< removed ones too: an older message about them must not bring them back
+    std::map<std::string, StoredRow> m_rows; ///< including removed rows, which an older message must not restore
     RowVersion m_version;
     std::uint64_t m_checksum = 0;
     bool m_isLoaded = false;
--- a/src/core/runonce.cpp
+++ b/src/core/runonce.cpp
@@ -13,28 +13,28 @@
 {
 
 enum class Phase {
-    Claiming, ///< the claim's write is pending or sent
-    Checking, ///< the row exists; being read
-    ClaimedElsewhere, ///< another attempt has claimed it; read again now and then
-    Running, ///< ours, forwarded
-    Recording, ///< ours, answered; the record's write is pending or sent
-    Releasing, ///< ours, not run; the release's write is pending or sent
-    Remembered, ///< ended; the answer, or that it is unknown, is kept
+    Claiming, ///< the claim is waiting to be written, or its write is in flight
+    Checking, ///< the row exists; it is being read
+    ClaimedElsewhere, ///< another attempt has claimed the key; the row is read again every pollPeriod
+    Running, ///< claimed by this agent; a send was forwarded
+    Recording, ///< the run was answered; its record is waiting to be written, or the write is in flight
+    Releasing, ///< claimed but not run; the release is waiting to be written, or the write is in flight
+    Remembered, ///< ended; the result is kept in memory
 };
 
-/// What is known of one key.
+/// The state of one key.
 struct KeyEntry {
     Phase phase = Phase::Claiming;
     std::deque<RunOnceSend> waiting;
     std::optional<SendId> forwardedSend; ///< Running: the send that was forwarded
-    AttemptId attempt; ///< of our claim
-    RowVersion version; ///< Claiming: what the claim expects; later, of our claim's row
+    AttemptId attempt; ///< attempt id of the own claim
+    RowVersion version; ///< Claiming: the version that the write expects; later the version of the claim's row
     std::int64_t keepUntilMs = 0;
-    bool inFlight = false; ///< Claiming: in a transaction without an answer yet
-    bool wasLost = false; ///< Claiming: sent, and the answer was lost
-    std::optional<TimePoint> readAt; ///< Checking and Elsewhere: when to read the row
+    bool inFlight = false; ///< Claiming: in a transaction that has no answer yet
+    bool wasLost = false; ///< Claiming: a transaction with it was sent, and the answer was lost
+    std::optional<TimePoint> readAt; ///< Checking, ClaimedElsewhere: when to read the row
     bool readSent = false;
-    std::optional<RunRecord> record; ///< Recording and Remembered; none there: unknown
+    std::optional<RunRecord> record; ///< Recording, Remembered: the answer; none: whether the request ran is unknown
 
     auto maybeWritten() const -> bool
     {
@@ -79,13 +79,13 @@
     std::uint64_t reads = 0;
     CommitQueue queue;
     std::map<std::string, KeyEntry> keys; ///< by row key
-    std::map<SendId, std::string> rowOf; ///< of sends not answered or running
+    std::map<SendId, std::string> rowOf; ///< row key by send, for sends that wait or run
     std::map<ReadId, std::vector<std::string>> readsInFlight;
-    std::deque<std::string> remembered; ///< oldest first
-    /// When to look at which row: sends' deadlines and reads. A hint may be stale; looking once too often does no harm.
+    std::deque<std::string> remembered; ///< row keys in phase Remembered, oldest first
+    /// Row keys by the time at which a send's deadline ends or a read is due. Entries may be outdated: the row's state is checked before it is acted upon.
     std::multimap<TimePoint, std::string> deadlineHints;
     std::multimap<TimePoint, std::string> readHints;
-    RunOnceActions actions; ///< of the event being handled
+    RunOnceActions actions; ///< result of the event that is being handled
 
     auto takeActions(TimePoint now) -> RunOnceActions;
     auto startClaim(const std::string &row, KeyEntry &entry, RowVersion expect, TimePoint now) -> void;
@@ -142,8 +142,8 @@
     entry.waiting.clear();
 }
 
-// At its deadline a send gets the truth as far as it is known. "Not run" needs that no claim for it was ever sent: one whose answer
-// was lost may make this key's later sends unknown, and a claim that is someone else's may mean that the key has run.
+// At its deadline a send is answered with what is known. "Not run" requires that no write of the claim was ever sent: a claim whose answer was lost may
+// make later sends of the key unknown, and after a claim by another agent the key may have run.
 auto RunOnce::Private::answerExpired(const KeyEntry &entry, SendId send) -> void
 {
     if (entry.phase == Phase::Claiming && !entry.maybeWritten()) {
@@ -200,7 +200,7 @@
     forwardNext(row, entry, now);
 }
 
-// The claim is ours, so the next send that still waits may run; a send past its deadline would run for nobody.
+// The key is claimed by this agent, so the next waiting send is forwarded. A send past its deadline isn't: nobody would receive its answer.
 auto RunOnce::Private::forwardNext(const std::string &row, KeyEntry &entry, TimePoint now) -> void
 {
     while (!entry.waiting.empty()) {
@@ -219,7 +219,7 @@
     release(row, entry, now);
 }
 
-// The row is overwritten, not deleted: a late copy of our own claim, written if absent, must not find its place free again.
+// The row is overwritten, not deleted: a late write of this claim, which takes effect only if there is no row, must not succeed.
 auto RunOnce::Private::release(const std::string &row, KeyEntry &entry, TimePoint now) -> void
 {
     entry.phase = Phase::Releasing;
@@ -294,13 +294,13 @@
         entry.phase = Phase::Checking;
         scheduleRead(row, entry, now);
     } else if (entry.phase == Phase::Recording) {
-        keepInMemory(row, entry); // an earlier try of this write took effect, its answer was lost
+        keepInMemory(row, entry); // an earlier attempt of this write took effect and its answer was lost
     } else if (entry.phase == Phase::Releasing) {
-        released(row, entry, now); // likewise
+        released(row, entry, now); // an earlier attempt took effect and its answer was lost
     }
 }
 
-// Refused by a store that can't be reached: callers are better off with a definite answer now.
+// The store is unreachable and the claim was certainly not written, so the waiting callers get a definite answer at once.
 auto RunOnce::Private::refused(const std::string &row) -> void
 {
     const auto found = keys.find(row);
@@ -356,7 +356,7 @@
         return;
     }
     if (!found) {
-        startClaim(row, entry, RowVersion(), now); // deleted meanwhile
+        startClaim(row, entry, RowVersion(), now); // the row was deleted meanwhile
         return;
     }
     if (claim && claim->state == ClaimState::Released) {
--- a/src/core/runonce.h
+++ b/src/core/runonce.h
@@ -1,23 +1,23 @@
-// Requests that must run at most once: a durable claim per key before the request is forwarded. Pure: events in, actions out.
+// Requests that must run at most once: each key gets a durable claim before its request is forwarded. No I/O: events in, actions out.
 //
-// Each agent has one RunOnce. A request's key gets a row in the platform's table, written only if absent, and only then is the request
-// forwarded. Nobody ever runs a key that another has claimed, so it doesn't matter when a paused claimant wakes or which entry a
-// duplicate comes through. After the run the answer goes into the same row, and duplicates are answered from it.
+// Each agent has one RunOnce. For each request a row with the request's key is written to the platform's table, only if there is none, and the request is
+// forwarded only after that. Nobody runs a key that another has claimed, so it doesn't matter when a paused claimant continues, or which entry a duplicate
+// comes through. After the run the answer is written to the same row, and duplicates are answered from it.
 //
-// A write whose answer was lost may take effect later: reading "absent" would not prove that it never will. So the same claim, with the
-// same attempt id, is written again, if absent. Either that write takes effect, and the first can't any more, or the row is there, and
-// its attempt id says whose it is. Until one of the two is known the request is not run, and its caller gets "unknown".
+// A write whose answer was lost may take effect later, so reading that the row is absent doesn't prove that the write never will. Instead the same claim,
+// with the same attempt id, is written again, only if there is no row. Either this write takes effect, and then the first one can't any more, or the row
+// exists, and its attempt id tells whose claim it is. Until one of the two is known the request is not run, and its caller gets "unknown".
 //
-// "Not run" speaks of the send it answers: it was never forwarded, and this agent won't forward it.
+// An answer "not run" is about one send: it was never forwarded, and this agent won't forward it.
 //
 // Index of sections (search for [SECTION]):
-//   Keys       of claims
-//   Rows       what a claim's row holds
-//   Requests   one send of a caller's request
+//   Keys       keys of claims and of their rows
+//   Rows       contents of a claim's row
+//   Requests   one send of a caller's request, and how its run ended
 //   Actions    what the owner has to do
-//   Settings   of group commit and memory
+//   Settings   limits of writes, records and keys
 //   RunOnce    the state machine
-//   Clean-up   of rows that were kept long enough
+//   Clean-up   deletion of rows after their retention
 #pragma once
 
 #include "core/commitqueue.h"
@@ -44,24 +44,24 @@
     auto operator<=>(const ClaimKey &) const = default;
 };
 
-/// All claim rows' keys begin with this.
+/// The prefix of the keys of all claim rows.
 constexpr auto ClaimRowPrefix = "claim/";
 auto claimRowKey(const ClaimKey &key) -> std::string;
 
 // [SECTION] Rows
 
 enum class ClaimState {
-    Claimed, ///< may run, may be running, may have run
+    Claimed, ///< may be about to run, be running, or have run
     Done, ///< has run; its answer may be kept
-    Released, ///< certainly not run by this attempt; may be claimed again
+    Released, ///< not run by this attempt; may be claimed again
 };
 
-/// The answer of a run, as duplicates get it.
+/// The answer of a run, which duplicates get too.
 struct RunRecord {
     int status = 0;
     std::vector<std::pair<std::string, std::string>> headers; ///< names in lower case
     std::string body;
-    bool isWhole = true; ///< false: ran, but the answer was too large to keep
+    bool isWhole = true; ///< false: the request ran, but its answer was too large to keep
 
     auto operator==(const RunRecord &) const -> bool = default;
 };
@@ -69,7 +69,7 @@
 struct ClaimRow {
     AttemptId attempt;
     ClaimState state = ClaimState::Claimed;
-    std::int64_t keepUntilMs = 0; ///< wall clock, milliseconds since 1970; may be deleted after
+    std::int64_t keepUntilMs = 0; ///< milliseconds since 1970 by the wall clock; the row may be deleted after it
     std::optional<RunRecord> record; ///< Done only
 };
 
@@ -78,28 +78,28 @@
 
 // [SECTION] Requests
 
-using BatchId = CommitQueue::BatchId; ///< one transaction
-using ReadId = StrongNumber<struct ReadIdTag>; ///< one read of rows
+using BatchId = CommitQueue::BatchId; ///< identifies one transaction
+using ReadId = StrongNumber<struct ReadIdTag>; ///< identifies one read of rows
 
 struct RunOnceSend {
     SendId send;
     ClaimKey key;
-    TimePoint deadline; ///< answered by then, one way or another
+    TimePoint deadline; ///< a send that still waits is answered then
     std::int64_t keepUntilMs = 0; ///< see ClaimRow
 };
 
 enum class RunOutcome {
-    Answered, ///< whole answer received
-    NotRun, ///< certainly nothing reached the target
+    Answered, ///< the whole answer was received
+    NotRun, ///< nothing reached the target
     Unknown, ///< may have run
 };
 
 // [SECTION] Actions
 
-/// Send the request to the target now, and report the end with runEnded(). Its caller is answered by the owner.
+/// Send the request to the target now, answer its caller, and report the end with runEnded().
 struct ForwardSend {
     SendId send;
-    AttemptId attempt; ///< of the claim
+    AttemptId attempt; ///< attempt id of the claim
 };
 struct AnswerFromRecord {
     SendId send;
@@ -129,15 +129,15 @@
 // [SECTION] Settings
 
 struct RunOnceSettings {
-    double writesPerSecond = 100; ///< this agent's share of the platform's budget, to start with; adapts between the next two
+    double writesPerSecond = 100; ///< initial share of the platform's write budget; adapts between minWritesPerSecond and maxWritesPerSecond
     double minWritesPerSecond = 2;
     double maxWritesPerSecond = 300;
     std::size_t batchesInFlight = 4;
     Duration retryDelay = Duration::millis(50); ///< after a refused or lost write, and after a failed read
-    Duration pollPeriod = Duration::millis(200); ///< of a row that another agent has claimed
-    std::size_t maxRecordBytes = 16U << 10U; ///< of one answer's headers and body
-    std::size_t maxRemembered = 2048; ///< keys kept in memory after their end
-    std::size_t maxOpenKeys = 4096; ///< keys not ended; more are refused as not run
+    Duration pollPeriod = Duration::millis(200); ///< between reads of a row that another agent has claimed
+    std::size_t maxRecordBytes = 16U << 10U; ///< size limit of an answer's headers and body together; a larger answer isn't kept
+    std::size_t maxRemembered = 2048; ///< ended keys whose result is kept in memory
+    std::size_t maxOpenKeys = 4096; ///< keys that have not ended; a send of a further key is answered "not run"
 };
 
 // [SECTION] RunOnce
@@ -145,26 +145,27 @@
 class RunOnce
 {
 public:
-    /// `claimant` is unique over all processes and restarts: attempt ids begin with it.
+    /// `claimant`: prefix of the attempt ids; must be unique over all processes and restarts.
     RunOnce(RunOnceSettings settings, std::string claimant);
     ~RunOnce();
 
     // Queries
 
-    auto openKeys() const -> std::size_t; ///< claims, runs and releases under way
-    auto pendingWrites() const -> std::size_t; ///< not yet in a transaction
-    auto writesPerSecond() const -> double; ///< as adapted
-    auto nextWake() const -> std::optional<TimePoint>; ///< when tick() has something to do, if no event comes before
+    auto openKeys() const -> std::size_t; ///< keys whose claim, run, record or release has not ended
+    auto pendingWrites() const -> std::size_t; ///< writes that are not in a transaction
+    auto writesPerSecond() const -> double; ///< the adapted rate
+    auto nextWake() const -> std::optional<TimePoint>; ///< when tick() must be called if no event arrives earlier
 
     // Events
 
+    /// A send of a request arrived.
     auto submit(const RunOnceSend &send, TimePoint now) -> RunOnceActions;
-    /// The caller left. A send that was forwarded stays: report its end with runEnded().
+    /// The caller left. A send that was forwarded isn't cancelled: report its end with runEnded().
     auto cancel(SendId send, TimePoint now) -> RunOnceActions;
     auto transactDone(BatchId batch, const TransactResult &result, TimePoint now) -> RunOnceActions;
-    /// `rows`: those that exist; none at all if the read failed.
+    /// `rows`: the requested rows that exist; std::nullopt if the read failed.
     auto readDone(ReadId read, const std::optional<std::vector<TableRow>> &rows, TimePoint now) -> RunOnceActions;
-    /// `record`: with Answered only.
+    /// `record`: used with Answered only.
     auto runEnded(SendId send, RunOutcome end, const RunRecord &record, TimePoint now) -> RunOnceActions;
     auto tick(TimePoint now) -> RunOnceActions;
 
@@ -176,8 +177,8 @@
 
 // [SECTION] Clean-up
 
-/// Deletes, at most MaxTransactionOps of them, for rows of one scan page that were kept long enough. Each expects the row's version, so a
-/// row that changed meanwhile stays. `wallNowMs` may be off from the writers' clocks by far less than any retention.
+/// Delete operations for those rows of one scan page whose retention is over, at most MaxTransactionOps. Each expects the row's version, so that a row that
+/// has changed meanwhile isn't deleted. The difference of `wallNowMs` from the writers' clocks must be much smaller than any retention.
 auto planClaimCleanup(const std::vector<TableRow> &rows, std::int64_t wallNowMs) -> std::vector<TableOp>;
 
 } // namespace KingCup
--- a/src/core/storewatchers.h
+++ b/src/core/storewatchers.h
@@ -1,7 +1,8 @@
-// Which gateways watch the store themselves. Pure.
+// Which gateways watch the store themselves. No I/O.
 //
-// Usually the first few in a ranking that all know. While none of them reaches the store, more join, the next in the ranking first, up to a limit: where
-// the store refuses single hosts another one reaches it, and where it is away for all, a hundred gateways that retry would only add to its load.
+// Normally these are the first few of a ranking that is the same on all gateways. While none of them reaches the store, the next ones in the ranking join,
+// up to a limit: if the store refuses only some hosts, another one reaches it, and if it is unavailable for all, retries of a hundred gateways would only
+// add to its load.
 #pragma once
 
 #include "core/units.h"
@@ -11,17 +12,17 @@
 namespace KingCup
 {
 
-/// Where a starting gateway gets the store's tables from.
+/// Where a starting gateway gets the contents of the store's tables from.
 enum class TableSource {
     Store,
-    Peers, ///< gateways that have them: whole tables are large, and a hundred gateways may start at once
+    Peers, ///< from gateways that have them: whole tables are large, and a hundred gateways may start at the same time
 };
 
 struct StoreWatcherOptions {
-    int baseCount = 3; ///< gateways that watch at once: two of them may lose the store in the same moment
-    int maxCount = 12; ///< while nobody reaches it
-    int maxDirectReaders = 40; ///< registered gateways up to which each reads the tables by itself
-    Duration doubleAfter = Duration::millis(400); ///< without a watcher that reaches the store, until the number doubles
+    int baseCount = 3; ///< gateways that watch normally: two of them may lose the store at the same time
+    int maxCount = 12; ///< limit while no watcher reaches the store
+    int maxDirectReaders = 40; ///< with at most this many registered gateways, each reads the tables from the store
+    Duration doubleAfter = Duration::millis(400); ///< time without a watcher that reaches the store after which the number doubles
 };
 
 class StoreWatchers
@@ -29,11 +30,11 @@
 public:
     explicit StoreWatchers(StoreWatcherOptions options = {});
 
-    /// `isStoreReachable`: some watcher, here or elsewhere, reaches the store.
+    /// Updates the state; call periodically. `isStoreReachable`: some watcher, this gateway or another, reaches the store.
     auto advance(bool isStoreReachable, TimePoint now) -> void;
-    /// Gateways that should watch now, counted from the first in the ranking.
+    /// The number of gateways that should watch now, counted from the first of the ranking.
     auto desiredWatchers(TimePoint now) const -> int;
-    /// Of a gateway with so many others `ahead` in the ranking, by the rows of `registered` gateways.
+    /// The source for a gateway that starts: `registered` gateways have rows in the store, `ahead` of them come before this one in the ranking.
     auto initialSource(int registered, int ahead) const -> TableSource;
 
 private:
--- a/src/core/suspects.cpp
+++ b/src/core/suspects.cpp
@@ -123,8 +123,8 @@
         } else if (record.cleared || record.expiresAt + m_options.suspectFor <= now) {
             it = m_records.erase(it);
         } else {
-            // Over, but remembered as cleared for one more lifetime: a peer whose record ends a little later would otherwise hand it
-            // back, and the two would keep it alive for ever.
+            // An expired record is kept as cleared for another suspectFor. Otherwise a peer whose record expires a little later would send it back, and the
+            // two processes would keep it alive forever.
             record.cleared = true;
             record.isQuarantineOver = record.quarantined;
             record.quarantined = false;
--- a/src/core/suspects.h
+++ b/src/core/suspects.h
@@ -1,5 +1,5 @@
-// Requests that crash their target. Whatever was in flight at a crash is suspected and runs alone from then on; what was in flight
-// at a second crash is quarantined: refused everywhere with a clear error, so that one request costs two targets at most.
+// Requests that crash their target. Each request that was in flight when a target crashed is suspected and runs alone from then on. One that was in flight at
+// a second crash is quarantined: it is refused everywhere with a clear error, so that one request crashes at most two targets.
 #pragma once
 
 #include "core/ids.h"
@@ -15,26 +15,26 @@
 {
 
 enum class Verdict {
-    Clear, ///< run it as any other
-    Alone, ///< run it with nothing else on the target
+    Clear, ///< run it like any other request
+    Alone, ///< run it while no other request runs on the target
     Quarantined, ///< refuse it
 };
 auto toString(Verdict verdict) -> const char *;
 
 struct SuspectsOptions {
-    std::size_t maxRecords = 4096; ///< fingerprints kept; the oldest suspects go first, quarantined ones last
+    std::size_t maxRecords = 4096; ///< fingerprints kept; beyond it suspected ones are evicted before quarantined ones, and those that expire first go first
     Duration suspectFor = Duration::seconds(600);
     Duration quarantineFor = Duration::seconds(86400);
 };
 
-/// A suspected fingerprint and the crashes it was in flight at, as "TARGET#GENERATION". Without the crashes, one that is reported by two processes
-/// would count as two and an innocent request would be quarantined.
+/// A suspected fingerprint and the crashes at which it was in flight, as "TARGET#GENERATION". They identify a crash: otherwise one crash that two processes
+/// report would count as two, and an innocent request would be quarantined.
 struct Suspicion {
     std::string fingerprint;
     std::vector<std::string> crashes;
 };
 
-/// What one process tells others.
+/// The suspicions that a process sends to others.
 struct SuspectDigest {
     std::vector<Suspicion> suspected;
     std::vector<std::string> quarantined;
@@ -51,19 +51,19 @@
     auto size() const -> std::size_t;
 
     // Commands
-    /// A target crashed with these in flight. Two reports of one crash (same target, same generation that died) count once.
+    /// A target crashed while requests with these fingerprints were in flight. Two reports of one crash (same target and generation) count once.
     auto targetCrashed(const TargetId &target, std::uint64_t generation, const std::vector<std::string> &inFlight, TimePoint now) -> void;
-    /// A suspect that ran alone to its end is cleared.
+    /// A suspected request ran alone to its end: its suspicion is cleared.
     auto completedAlone(const std::string &fingerprint, TimePoint now) -> void;
-    /// Learns what another process knows. It never lengthens a record, so that two processes can't keep one alive between them.
+    /// Merges a digest of another process. This never extends a record, so that two processes can't keep it alive by sending it to each other.
     auto merge(const SuspectDigest &digest, TimePoint now) -> void;
-    auto expire(TimePoint now) -> void; ///< drops what is over; call every second or so
+    auto expire(TimePoint now) -> void; ///< drops expired records; call about once a second
 
 private:
     struct Record {
         bool quarantined = false;
-        bool isQuarantineOver = false; ///< its quarantine ran out: gossip of it is ignored
-        bool cleared = false; ///< kept for a while so that gossip doesn't bring the suspicion back
+        bool isQuarantineOver = false; ///< the quarantine has expired: digests with it are ignored
+        bool cleared = false; ///< no longer suspected; kept for suspectFor so that a digest doesn't restore the suspicion
         TimePoint expiresAt;
         std::set<std::string> crashes; ///< "target#generation"
     };
--- a/tests/sim_engine.h
+++ b/tests/sim_engine.h
@@ -1,4 +1,4 @@
-// An engine in virtual time that loses orders, lets them take effect late, and crashes. It keeps the truth of its memory.
+// A simulated engine in virtual time that loses orders, lets them take effect late, and crashes. It tracks what its memory really holds.
 #pragma once
 
 #include "core/ledger.h"
@@ -7,11 +7,12 @@
 namespace KingCup
 {
 
+/// Probabilities are per order, status or fence raise.
 struct SimEngineFaults {
     double lostOrder = 0.0; ///< no answer, no effect
-    double lateOrder = 0.0; ///< no answer, effect up to `maxDelay` after sending
+    double lateOrder = 0.0; ///< no answer, takes effect up to `maxDelay` after sending
     double lostAnswer = 0.0; ///< of orders, statuses and fences
-    double acceptedLate = 0.0; ///< accepted, effect up to `maxDelay` after sending
+    double acceptedLate = 0.0; ///< answered as accepted, takes effect up to `maxDelay` after sending
     Duration maxDelay = Duration::seconds(10);
     Duration latency = Duration::millis(50);
     Duration loadTime = Duration::seconds(2);
@@ -31,9 +32,9 @@
     }
 
     SimEngineFaults faults;
-    Bytes highestUse; ///< highest use ever
+    Bytes highestUse; ///< highest memory use so far
     std::size_t loads = 0;
-    std::map<ArtifactName, std::size_t> duplicateLoads; ///< loads that found the artifact there already
+    std::map<ArtifactName, std::size_t> duplicateLoads; ///< loads of an artifact that was resident or loading already
     std::vector<EngineArtifact> resident;
     std::vector<EngineArtifact> loading;
 
--- a/tests/sim_table.h
+++ b/tests/sim_table.h
@@ -1,4 +1,4 @@
-// A table service in virtual time that loses requests, loses answers, and lets writes take effect late. For tests of the decisions.
+// A simulated table service in virtual time that loses requests and answers, and lets writes take effect late.
 #pragma once
 
 #include "core/table.h"
@@ -15,7 +15,7 @@
 namespace KingCup
 {
 
-/// Events in virtual time, run in order.
+/// Runs scheduled events in virtual time, in the order of their times.
 class SimClock
 {
 public:
@@ -31,7 +31,7 @@
     {
         at(m_now + delay, std::move(action));
     }
-    /// Runs one event; false if there is none before `until`.
+    /// Runs one event. Returns false if none is due until `until`; then that becomes the current time.
     auto step(TimePoint until) -> bool
     {
         if (m_events.empty() || m_events.begin()->first > until) {
@@ -53,15 +53,15 @@
     std::multimap<TimePoint, std::function<void()>> m_events;
 };
 
-/// Chances are of each write or read.
+/// Probabilities are per write or read.
 struct SimTableFaults {
     double lostRequest = 0.0; ///< never arrives, no answer
     double lostAnswer = 0.0; ///< takes effect, no answer
     double late = 0.0; ///< no answer, takes effect up to `maxDelay` later
-    double refused = 0.0; ///< definitely without effect
+    double refused = 0.0; ///< answered as refused, without effect
     Duration maxDelay = Duration::seconds(3);
-    Duration latency = Duration::millis(10); ///< most, each way
-    Duration timeout = Duration::millis(100); ///< after which the client says "lost"
+    Duration latency = Duration::millis(10); ///< upper limit, each way
+    Duration timeout = Duration::millis(100); ///< without an answer, after which the client reports the call as lost
 };
 
 class SimTable
--- a/tests/unit_breaker.cpp
+++ b/tests/unit_breaker.cpp
@@ -43,7 +43,7 @@
 
 TEST_CASE("an open breaker lets one probe through, and its answer decides")
 {
-    // A store that struggles to its feet would be knocked down again if everybody who waited came at once.
+    // A store that is recovering would be overloaded again if all waiting callers called it at the same time.
     auto breaker = openedAtZero();
     REQUIRE(breaker.mayCall(at(1)));
     breaker.started();
@@ -58,7 +58,7 @@
     REQUIRE(breaker.mayCall(at(3)));
 }
 
-TEST_CASE("late failures of calls from before the opening don't lengthen the pause")
+TEST_CASE("late failures of calls that were started before the breaker opened don't lengthen the pause")
 {
     auto breaker = openedAtZero();
     for (int i = 0; i < 20; ++i) {
@@ -67,7 +67,7 @@
     REQUIRE(breaker.mayCall(at(1)));
 }
 
-TEST_CASE("back-off doubles up to its most, with jitter below it, and starts anew")
+TEST_CASE("backoff doubles up to its maximum, with jitter below, and reset() starts it again")
 {
     std::minstd_rand random(7);
     Backoff backoff({.initial = Duration::millis(100), .max = Duration::millis(400)});
--- a/tests/unit_ledger.cpp
+++ b/tests/unit_ledger.cpp
@@ -30,13 +30,13 @@
     return {.fencing = fencing, .longestOrderDelay = LongestDelay, .kvReserve = 0.15};
 }
 
-/// A status whose answer comes at once.
+/// Delivers a status whose answer arrives at the time of the request.
 auto deliverStatus(MemoryLedger &ledger, TimePoint when, const EngineStatus &truth) -> void
 {
     ledger.statusReceived(when, truth, when);
 }
 
-/// A ledger of an engine that ignores fences, past its opening delay.
+/// A ledger for an engine that ignores fences, after its opening delay.
 auto openLedger() -> MemoryLedger
 {
     MemoryLedger ledger(settings(FencingSupport::Ignored), "a", at(0));
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("loads are charged from the order on, beside the KV reserve")
+TEST_CASE("loads are charged from the time of the order, in addition to the KV reserve")
 {
     auto ledger = openLedger();
     REQUIRE(ledger.freeBytes() == gigabytes(68));
@@ -68,8 +68,8 @@
 
 TEST_CASE("a lost load stays charged until it can't take effect any more")
 {
-    // An order to load gets no answer. The engine may still act on it many seconds later. If its room were given away in between, the
-    // engine would run out of memory and crash with everything on it.
+    // An order to load gets no answer, but the engine may still act on it many seconds later. If its memory were given away meanwhile, the engine would run
+    // out of memory and crash with all its models.
     auto ledger = openLedger();
     const auto order = ledger.orderLoad(Sun, {}, gigabytes(40), at(17));
     ledger.orderAnswered(order->id, OrderAnswer::Lost);
@@ -79,18 +79,18 @@
     REQUIRE(ledger.charged() == gigabytes(0));
 }
 
-TEST_CASE("a status asked for before the order proves nothing about it")
+TEST_CASE("a status requested before the order proves nothing about it")
 {
-    // The answer to an earlier question arrives after the order was sent, and past the longest delay, because the network was slow.
+    // On a slow network the answer to an earlier status request may arrive after the order was sent, and even after the longest delay.
     auto ledger = openLedger();
     ledger.orderLoad(Sun, {}, gigabytes(40), at(17));
     deliverStatus(ledger, at(17), status());
     REQUIRE(ledger.charged() == gigabytes(40));
 }
 
-TEST_CASE("with fences a lost load is settled by a raise and a status asked for after it")
+TEST_CASE("with fences a lost load is settled by a raise and a status requested after it")
 {
-    // The engine refuses old fencing numbers, so that the room of a lost order is free again within seconds, not after its longest delay.
+    // The engine refuses orders with old fences, so the memory of a lost order is free again within seconds instead of after the longest delay.
     MemoryLedger ledger(settings(FencingSupport::Checked), "a", at(0));
     deliverStatus(ledger, at(0.1), status());
     REQUIRE(ledger.nextAction(at(0.2)).kind == LedgerAction::Kind::RaiseFence);
@@ -118,8 +118,8 @@
 
 TEST_CASE("a model isn't loaded again while its unload may still arrive")
 {
-    // The unload's answer is lost, the engine crashes and comes back empty. Loaded again at once, the model would be taken away by the late
-    // unload, behind the back of callers who were just routed to it.
+    // The unload's answer is lost; the engine crashes and restarts empty. If the model were loaded again at once, the late unload would remove it after callers
+    // were routed to it.
     auto ledger = openLedger();
     deliverStatus(ledger, at(17), status({{Sun, gigabytes(40), {}}}));
     const auto order = ledger.orderUnload(Sun, at(18));
@@ -131,10 +131,10 @@
     REQUIRE(ledger.mayLoad(Sun, gigabytes(40)) == LedgerRefusal::None);
 }
 
-TEST_CASE("a longer delay that is declared while an order is out holds for it")
+TEST_CASE("a longer delay that is declared while an order is outstanding applies to that order")
 {
-    // Operators learn that an engine acts later than they thought and declare it. An order that is out already must be waited for that long,
-    // or its room is given away too soon.
+    // Operators declare that an engine acts on orders later than they assumed before. The longer delay must apply to outstanding orders too, or their memory
+    // is given away too soon.
     auto ledger = openLedger();
     ledger.orderLoad(Sun, {}, gigabytes(40), at(17));
     ledger.updateDeclaration(Duration::seconds(60), 0.25);
@@ -145,9 +145,9 @@
     REQUIRE(ledger.charged() == gigabytes(0));
 }
 
-TEST_CASE("a restarted agent waits out its predecessor's orders")
+TEST_CASE("a restarted agent waits until its predecessor's orders can't take effect any more")
 {
-    // An agent is killed right after it ordered a load, and its replacement sees an engine with room. That room may be taken any moment.
+    // An agent is killed right after it ordered a load, and its replacement sees free memory on the engine, which that load may take at any moment.
     MemoryLedger ledger(settings(FencingSupport::Ignored), "a", at(100));
     deliverStatus(ledger, at(101), status());
     REQUIRE(ledger.mayLoad(Sun, gigabytes(40)) == LedgerRefusal::Closed);
@@ -157,8 +157,8 @@
 
 TEST_CASE("a restarted agent opens with a fence above every earlier agent's")
 {
-    // The engine crashed and forgot its fence, an order of the earlier agent is still on its way to it, and then the agent is replaced.
-    // With a fence counted up from what the engine shows, that order would pass for a new one.
+    // The engine crashed and lost its fence, an order of the earlier agent is still in flight, and then the agent is replaced. If the new fence were counted
+    // from the one that the engine reports, the engine would accept that order as a new one.
     auto options = settings(FencingSupport::Checked);
     options.firstFence = Fence(2000);
     MemoryLedger ledger(options, "a", at(0));
@@ -166,11 +166,11 @@
     REQUIRE(ledger.nextAction(at(0.2)).fence == Fence(2000));
 }
 
-TEST_CASE("of two statuses under way at once only the first to arrive counts")
+TEST_CASE("of two statuses in flight at once only the first to arrive counts")
 {
-    // A status is slow, so the agent asks again, and the second question is answered first at the engine but arrives last. In between a load
-    // took effect. Believing the second would order the load again, on top of the first. (Spin's trail of model/ledger.pml; a test by the
-    // order of asking let it through.)
+    // A status is slow, so the agent requests another one. The engine takes the second one first, but its answer arrives last, and a load took effect in
+    // between. If the second were accepted, the load would be ordered again in addition to the first. The Spin model model/ledger.pml found this; comparing
+    // only the times of the requests doesn't prevent it.
     auto ledger = openLedger();
     ledger.statusReceived(at(20), status({{Sun, gigabytes(40), {}}}), at(23));
     ledger.statusReceived(at(22), status(), at(24));
@@ -181,7 +181,7 @@
     REQUIRE(ledger.charged() == gigabytes(0));
 }
 
-TEST_CASE("a floor copy evicts what nobody wants, then surge copies, never what is pinned or in use")
+TEST_CASE("a floor copy evicts unwanted models first, then surge copies, never pinned or used ones")
 {
     auto ledger = openLedger();
     const ArtifactName old("old@1");
@@ -207,7 +207,7 @@
     REQUIRE(next->artifact == Sun);
 }
 
-TEST_CASE("an adapter follows its base, and a base stays while its adapter is there")
+TEST_CASE("an adapter is loaded after its base, and a base stays resident while its adapter is")
 {
     auto ledger = openLedger();
     const ArtifactName adapter("sun-tx");
@@ -227,8 +227,8 @@
 
 TEST_CASE("memory is never overcommitted, over seeds of lost and late orders, crashes and restarts, with and without fences")
 {
-    // Wishes change at random on an engine that loses orders and answers, acts late, crashes and comes back empty, while the agent is
-    // restarted. An engine that holds more than its memory crashes, and its users' requests with it.
+    // The wanted models change at random on an engine that loses orders and answers, acts late, crashes and restarts empty, and the agent is restarted too. An
+    // engine that is overcommitted crashes, and all requests on it fail.
     const auto seed = GENERATE(range(1, 201));
     const bool checksFence = seed % 2 == 0;
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
--- a/tests/unit_membership.cpp
+++ b/tests/unit_membership.cpp
@@ -51,10 +51,10 @@
     REQUIRE(membership.find("r0")->state == MemberState::Live);
 }
 
-TEST_CASE("a list that suddenly empties or halves is not believed")
+TEST_CASE("a list that suddenly empties or halves is not trusted")
 {
-    // The platform's list service restarts and answers with an empty list for a while. Believed, it would take every healthy target out of
-    // use at once, and all callers would be refused.
+    // The platform's list service restarts and returns an empty list for a while. If that were applied, no healthy target would be used any more and all
+    // callers would be refused.
     Membership membership;
     membership.listReceived(agents(10), at(0));
     heartbeatAll(membership, 10, at(0));
@@ -68,7 +68,7 @@
     REQUIRE(membership.isListTrusted());
 }
 
-TEST_CASE("a host that leaves the list and is silent is forgotten, one that leaves gets no work")
+TEST_CASE("a host that is unlisted and silent is forgotten, one that is listed as leaving stays leaving")
 {
     Membership membership;
     membership.listReceived(agents(10), at(0));
@@ -84,7 +84,7 @@
     REQUIRE(membership.find("r3")->state == MemberState::Leaving);
 }
 
-TEST_CASE("a member's departure moves only what it had")
+TEST_CASE("the removal of a member moves only the subjects that it ranked first for")
 {
     std::vector<std::string> members {"a", "b", "c", "d", "e"};
     const auto without = std::vector<std::string> {"a", "b", "d", "e"};
@@ -102,12 +102,12 @@
 
 TEST_CASE("a request that crashes its targets costs two of them at most")
 {
-    // One request crashes each engine that runs it, and its caller sends it again, through whichever entry. Without a memory of what was in
-    // flight it would take down the targets one after the other.
+    // A request crashes each engine that runs it, and its caller sends it again through any entry. Unless the requests in flight at a crash are remembered, it
+    // crashes one target after the other.
     Suspects here;
     Suspects elsewhere;
     here.targetCrashed(TargetId("r1"), 4, {"bad", "innocent"}, at(0));
-    here.targetCrashed(TargetId("r1"), 4, {"bad", "innocent"}, at(0.1)); // the same crash, told by someone else
+    here.targetCrashed(TargetId("r1"), 4, {"bad", "innocent"}, at(0.1)); // the same crash, reported by another process
     REQUIRE(here.verdict("bad", at(1)) == Verdict::Alone);
     elsewhere.merge(here.digest(at(1)), at(1));
     REQUIRE(elsewhere.verdict("bad", at(1)) == Verdict::Alone);
@@ -121,10 +121,10 @@
     REQUIRE(here.verdict("innocent", at(3)) == Verdict::Clear);
 }
 
-TEST_CASE("one crash that is told by two processes counts once")
+TEST_CASE("one crash that is reported by two processes counts once")
 {
-    // An engine crashes under several requests. Their entry hears of it twice: from the agent, and as the end of each request. Counted as two
-    // crashes, every innocent request among them would be refused for a day.
+    // An engine crashes while it runs several requests. Their entry learns of it twice: from the agent, and from the end of each request. Counted as two
+    // crashes, each innocent request among them would be refused for a day.
     Suspects agent;
     Suspects entry;
     agent.targetCrashed(TargetId("r1"), 4, {"innocent"}, at(0));
@@ -138,7 +138,7 @@
     REQUIRE(entry.verdict("innocent", at(2)) == Verdict::Quarantined);
 }
 
-TEST_CASE("suspicion ends, also between processes that tell each other")
+TEST_CASE("suspicions expire, also between processes that exchange them")
 {
     Suspects one({.suspectFor = Duration::seconds(10), .quarantineFor = Duration::seconds(20)});
     Suspects two({.suspectFor = Duration::seconds(10), .quarantineFor = Duration::seconds(20)});
@@ -155,7 +155,7 @@
     REQUIRE(one.size() == 0);
 }
 
-TEST_CASE("the memory of suspects is bounded, and quarantined ones are kept longest")
+TEST_CASE("the number of suspects is bounded, and quarantined ones are evicted last")
 {
     Suspects suspects({.maxRecords = 50});
     suspects.targetCrashed(TargetId("r1"), 1, {"bad"}, at(0));
@@ -167,9 +167,9 @@
     REQUIRE(suspects.verdict("bad", at(2)) == Verdict::Quarantined);
 }
 
-TEST_CASE("a bare model name stands for the old version until the new one is resident")
+TEST_CASE("a model name without a version means the old version until the new one is resident")
 {
-    // An operator makes version 2 current and removes version 1 in one change. Followed at once, every caller of the bare name would be
+    // An operator makes version 2 current and removes version 1 in one change. If that took effect at once, every caller that names only the model would be
     // refused while the new weights load.
     Declarations set;
     set.models["sun"] = Model {.name = "sun", .current = ArtifactName("sun@1")};
--- a/tests/unit_runonce.cpp
+++ b/tests/unit_runonce.cpp
@@ -16,7 +16,7 @@
 
 enum class Answer { Record, NotRun, Unknown, Delivered };
 
-/// An agent's shell around RunOnce: it forwards to a target that notes each execution.
+/// Performs the actions of one agent's RunOnce: calls the table, and forwards requests to a target that records each run.
 struct SimAgent {
     SimAgent(SimClock &clockGiven, SimTable &tableGiven, std::string claimant, RunOnceSettings settings = {})
         : clock(clockGiven)
@@ -27,15 +27,15 @@
 
     SimClock &clock;
     SimTable &table;
-    std::shared_ptr<RunOnce> runOnce; ///< null once crashed
+    std::shared_ptr<RunOnce> runOnce; ///< null after a crash
     std::map<SendId, std::string> keyOf;
     std::function<void(const std::string &key, SendId send)> onRun;
     std::function<void(SendId send, Answer answers, const std::string &code)> onAnswer;
     std::function<RunOutcome()> runEnd = [] {
         return RunOutcome::Answered;
     };
-    Duration forwardDelay; ///< a pause between the claim and the forwarding
-    TimePoint pausedUntil; ///< nothing happens before
+    Duration forwardDelay; ///< between the claim and the run at the target
+    TimePoint pausedUntil; ///< no event is handled before this time
 
     auto send(SendId id, const std::string &key, Duration budget = Budget) -> void
     {
@@ -46,7 +46,7 @@
     {
         runOnce.reset();
     }
-    /// Runs `event` unless the agent has crashed, and not before it thaws.
+    /// Handles `event` after `delay`, but not before `pausedUntil`, and not if the agent has crashed.
     auto later(Duration delay, const std::function<RunOnceActions()> &event) -> void
     {
         const auto alive = std::weak_ptr<RunOnce>(runOnce);
@@ -117,7 +117,7 @@
     }
 };
 
-/// Two agents on one table, and what callers and the target saw.
+/// Two agents on one table, with a record of the answers to callers and of the runs at the target.
 struct Simulation {
     explicit Simulation(std::uint64_t seed)
         : random(seed)
@@ -130,7 +130,7 @@
     SimClock clock;
     SimTable table {clock, random};
     std::vector<std::unique_ptr<SimAgent>> agents;
-    std::vector<std::unique_ptr<SimAgent>> crashed; ///< kept, for their events are still due
+    std::vector<std::unique_ptr<SimAgent>> crashed; ///< kept because scheduled events refer to them
     std::map<std::string, int> runs;
     std::set<SendId> ran;
     std::map<SendId, std::vector<Answer>> answers;
@@ -177,10 +177,10 @@
     REQUIRE(simulation.code[SendId(3)] == "posted k");
 }
 
-TEST_CASE("a claim whose answer was lost is found to be ours and runs")
+TEST_CASE("a claim whose answer was lost is recognised as the agent's own, and the request runs")
 {
-    // The platform writes the claim but its answer never comes. Taken for a failure, the debit would be lost; taken for a success
-    // unread, it might be another agent's. The clerk sees an answer a little later than usual.
+    // The table writes the claim but its answer is lost. If that counted as a failure, the debit would not run; if it counted as a success without a read, the
+    // claim in the row could be another agent's. The caller gets its answer a little later than usual.
     Simulation simulation(1);
     simulation.table.faults.lostAnswer = 1;
     simulation.agents[0]->send(SendId(1), "k");
@@ -191,9 +191,9 @@
     REQUIRE(simulation.onlyAnswer(1) == Answer::Delivered);
 }
 
-TEST_CASE("with the store down a debit is not run, and its caller learns so at once")
+TEST_CASE("with the store down a debit is not run, and its caller is told so at once")
 {
-    // The platform refuses connections for a while. Nothing was claimed, so the clerk may post the debit again later.
+    // The table refuses everything for a while. Nothing was claimed, so the caller may send the debit again later.
     Simulation simulation(1);
     simulation.table.down = true;
     simulation.agents[0]->send(SendId(1), "k");
@@ -206,10 +206,10 @@
     REQUIRE(simulation.onlyAnswer(2) == Answer::Delivered);
 }
 
-TEST_CASE("a claim that stays unresolved never runs and is unknown")
+TEST_CASE("a request whose claim stays unresolved never runs, and its caller gets unknown")
 {
-    // Every answer of the platform is lost until the caller's time is up. Whether the claim stands nobody knows, so the clerk is
-    // told "unknown", and the debit doesn't run behind his back afterwards.
+    // Every answer of the table is lost until the caller's deadline. It isn't known whether the claim was written, so the caller gets "unknown", and the debit
+    // must not run afterwards.
     Simulation simulation(1);
     simulation.table.faults.lostAnswer = 1;
     simulation.agents[0]->send(SendId(1), "k");
@@ -220,10 +220,10 @@
     REQUIRE(simulation.runs.empty());
 }
 
-TEST_CASE("a claimant that pauses before forwarding doesn't double the debit")
+TEST_CASE("a claimant that pauses before forwarding doesn't cause a second run")
 {
-    // An agent freezes right after its claim was written and wakes much later. Its caller has sent the debit again through another
-    // entry meanwhile. Were the second to run, the patron would pay twice.
+    // An agent pauses right after its claim was written and continues much later. Meanwhile its caller has sent the debit again through another entry. If that
+    // one ran too, the account would be debited twice.
     Simulation simulation(1);
     simulation.agents[0]->forwardDelay = Duration::seconds(5);
     simulation.agents[0]->send(SendId(1), "k");
@@ -236,7 +236,7 @@
 
 TEST_CASE("a debit that could not be forwarded may run elsewhere")
 {
-    // The target refuses the connection after the claim was written. The clerk is told "not run" and posts it again, which must work.
+    // The target refuses the connection after the claim was written. The caller gets "not run" and sends the debit again, which must work.
     Simulation simulation(1);
     simulation.agents[0]->runEnd = [] {
         return RunOutcome::NotRun;
@@ -250,7 +250,7 @@
     REQUIRE(simulation.runs["k"] == 1);
 }
 
-TEST_CASE("an answer too large to keep is not passed off as whole")
+TEST_CASE("a duplicate of a request whose answer was too large to keep gets unknown")
 {
     Simulation simulation(1);
     auto &runOnce = *simulation.agents[0]->runOnce;
@@ -263,7 +263,7 @@
     REQUIRE(std::get<AnswerUnknown>(duplicate.at(0)).code == "record-too-large");
 }
 
-TEST_CASE("claims of one moment share a transaction")
+TEST_CASE("claims that arrive at the same time share transactions")
 {
     Simulation simulation(1);
     for (std::uint64_t i = 1; i <= 60; ++i) {
@@ -279,7 +279,7 @@
     REQUIRE(simulation.table.transactions < 60);
 }
 
-TEST_CASE("a claim row survives its text form, whatever bytes the answer has")
+TEST_CASE("a claim row is restored from its text form, whatever bytes the answer has")
 {
     ClaimRow row {.attempt = AttemptId("a-1"), .state = ClaimState::Done, .keepUntilMs = 77, .record = RunRecord {.status = 200}};
     for (int byte = 0; byte < 256; ++byte) {
@@ -294,7 +294,7 @@
     REQUIRE_FALSE(parseClaimRow("{\"attempt\":1}"));
 }
 
-TEST_CASE("clean-up deletes what was kept long enough, at the version seen")
+TEST_CASE("clean-up deletes rows after their retention, at the version that was read")
 {
     const auto row = [](const std::string &key, std::int64_t until) {
         const ClaimRow claim {.attempt = AttemptId("a"), .state = ClaimState::Claimed, .keepUntilMs = until, .record = std::nullopt};
@@ -306,8 +306,8 @@
 
 TEST_CASE("no key runs twice and no 'not run' is false, over seeds of lost, late and refused writes, pauses and crashes")
 {
-    // Callers send each key up to three times through two agents, while the store loses answers, lets writes take effect late and
-    // refuses, and agents pause and crash. A doubled run charges a patron twice; a false "not run" makes a clerk post it again.
+    // Callers send the same keys several times through two agents, while the table loses answers, refuses writes and lets them take effect late, and agents
+    // pause and crash. A second run debits an account twice; so does a false "not run", after which the caller sends the debit again.
     const auto seed = GENERATE(range(1, 301));
     Simulation simulation(static_cast<std::uint64_t>(seed));
     simulation.table.faults = {.lostRequest = 0.1, .lostAnswer = 0.15, .late = 0.1, .refused = 0.1};
--- a/tests/unit_storewatchers.cpp
+++ b/tests/unit_storewatchers.cpp
@@ -16,7 +16,7 @@
     return TimePoint() + Duration::seconds(seconds);
 }
 
-/// Gateways in the order of their ranking, each with its own view; `reaches` says who can use the store.
+/// Gateways in the order of their ranking, each with its own state; `reaches` tells which of them can reach the store.
 struct Fleet {
     std::vector<StoreWatchers> watchers = std::vector<StoreWatchers>(Gateways);
     std::vector<bool> reaches = std::vector<bool>(Gateways, true);
@@ -49,9 +49,10 @@
 
 } // namespace
 
-TEST_CASE("store outage: a bounded number of gateways retries, whatever the size of the deployment")
+TEST_CASE("store outage: a bounded number of gateways retries, independent of the size of the deployment")
 {
-    // All 103 gateways retried while the store was away: some hundred calls a second, each with its price, into a store that was coming back.
+    // If all 103 gateways retried while the store was unavailable, some hundred calls a second, each of which has a price, would hit a store that is
+    // recovering.
     Fleet fleet;
     fleet.advance(at(0));
     CHECK(fleet.watching(at(0)) == StoreWatcherOptions().baseCount);
@@ -65,7 +66,7 @@
     CHECK(fleet.watching(at(30)) == StoreWatcherOptions().baseCount);
 }
 
-TEST_CASE("store refuses single hosts: another gateway reaches it within a second and a half")
+TEST_CASE("the store refuses single hosts: another gateway reaches it within a second and a half")
 {
     for (const std::size_t refused : {1U, 3U, 6U, 11U}) {
         Fleet fleet;
@@ -79,9 +80,10 @@
     }
 }
 
-TEST_CASE("a mass restart: of many gateways a few read the store's tables, the others have them from those")
+TEST_CASE("mass restart: of many gateways a few read the store's tables, the others get them from those")
 {
-    // 301 gateways that started at once read 2,998 targets' rows each: the store's bytes cost more than anything else, and nobody served for 8 s.
+    // When 301 gateways started at the same time and each read the rows of 2,998 targets, the bytes read cost more than anything else, and no gateway served
+    // for 8 s.
     const StoreWatchers watchers;
     int reading = 0;
     for (int ahead = 0; ahead < 301; ++ahead) {
