--- a/src/agent/residencytask.cpp
+++ b/src/agent/residencytask.cpp
@@ -243,7 +243,7 @@
 auto ResidencyTask::Private::giveOrders() -> void
 {
     ResidencyInput input;
-    input.wants = wants();
+    input.wanted = wants();
     input.retired = retired();
     input.isPinned = [this](const ArtifactName &name) {
         return pins.isPinned(name);
--- a/src/core/adapterplan.cpp
+++ b/src/core/adapterplan.cpp
@@ -20,11 +20,12 @@
 
 } // namespace
 
-auto placeAdapter(const CopyPlanInput &input, const std::string &model, const std::string &adapter, const AdapterUses &uses, Duration spared, TimePoint now)
+auto placeAdapter(
+    const CopyPlanInput &input, const std::string &model, const std::string &adapter, const AdapterUses &uses, Duration minIdleTime, TimePoint now)
     -> std::optional<PlannedOrder>
 {
     const RunnerBook *free = nullptr;
-    double freeLoad = 0;
+    double freeScore = 0;
     std::optional<Eviction> eviction;
     const RunnerOrder load {true, model, adapter};
     for (const auto *runner : input.runners) {
@@ -34,10 +35,10 @@
         }
         if (runner->mayOrder(load, *input.engine, now)) {
             const auto taken = input.load.find(about.incarnation.id);
-            const double load01 = (taken == input.load.end() ? 0 : taken->second) - runner->freeAdapterSlots(*input.engine, now);
-            if (free == nullptr || load01 < freeLoad) {
+            const double score = (taken == input.load.end() ? 0 : taken->second) - runner->freeAdapterSlots(*input.engine, now);
+            if (free == nullptr || score < freeScore) {
                 free = runner;
-                freeLoad = load01;
+                freeScore = score;
             }
             continue;
         }
@@ -49,8 +50,8 @@
                 const RunnerOrder unload {false, held.name, loaded};
                 const auto used = lastUse(uses, about.incarnation.id, held.name, loaded);
                 const bool isOlder = !eviction || used < eviction->lastUsed;
-                const bool isSpared = now - used < spared;
-                if (isOlder && !isSpared && runner->mayOrder(unload, *input.engine, now)) {
+                const bool isRecentlyUsed = now - used < minIdleTime;
+                if (isOlder && !isRecentlyUsed && runner->mayOrder(unload, *input.engine, now)) {
                     eviction = Eviction {runner, unload, used};
                 }
             }
--- a/src/core/adapterplan.h
+++ b/src/core/adapterplan.h
@@ -11,8 +11,9 @@
 using AdapterUses = std::map<std::pair<TargetId, std::string>, TimePoint>;
 
 /// The next order that brings the adapter closer to being loaded somewhere; nothing if none can be given now.
-/// `spared`: one that was used within this time isn't evicted.
-auto placeAdapter(const CopyPlanInput &input, const std::string &model, const std::string &adapter, const AdapterUses &uses, Duration spared, TimePoint now)
+/// `minIdleTime`: one that was used within this time isn't evicted.
+auto placeAdapter(
+    const CopyPlanInput &input, const std::string &model, const std::string &adapter, const AdapterUses &uses, Duration minIdleTime, TimePoint now)
     -> std::optional<PlannedOrder>;
 
 } // namespace KingCup
--- a/src/core/cellload.cpp
+++ b/src/core/cellload.cpp
@@ -70,7 +70,7 @@
         sum.target = work.target;
         sum.running += work.running;
         sum.tokens += work.tokens;
-        for (std::size_t band = 0; band < UrgencyBands; ++band) {
+        for (std::size_t band = 0; band < UrgencyBandCount; ++band) {
             sum.pendingPrefill.at(band) = sum.pendingPrefill.at(band) + work.pendingPrefill.at(band);
         }
         target.nextFailures = std::max(target.nextFailures, std::min(sum.failures, work.failures));
@@ -151,7 +151,7 @@
         if (own != ownWork.end()) {
             work.running = std::max(work.running - own->second.running, 0);
             work.tokens = std::max<std::int64_t>(work.tokens - own->second.tokens, 0);
-            for (std::size_t band = 0; band < UrgencyBands; ++band) {
+            for (std::size_t band = 0; band < UrgencyBandCount; ++band) {
                 work.pendingPrefill.at(band) = std::max(work.pendingPrefill.at(band) - own->second.pendingPrefill.at(band), Duration());
             }
             work.failures = own->second.failures + FailureTolerance >= work.failures ? target.nextFailures : work.failures;
--- a/src/core/copyplan.cpp
+++ b/src/core/copyplan.cpp
@@ -19,8 +19,8 @@
 {
 
 /// Models looked at closely for one more replica, and slots for each: the spread of work is worked out for every pair.
-constexpr std::size_t MostCandidates = 4;
-constexpr std::size_t MostSlots = 4;
+constexpr std::size_t MaxCandidateModels = 4;
+constexpr std::size_t MaxPlacementsPerModel = 4;
 /// Added to a runner's load for each step from memory to disk to the store: a tenth of its time is lost sooner than a slow load is made up for.
 constexpr double SourceCost = 0.1;
 constexpr double NoGain = -std::numeric_limits<double>::infinity();
@@ -30,7 +30,7 @@
     const ModelDeclaration *declared = nullptr;
     double work = 0; ///< runners that its requests keep busy
     int usable = 0; ///< copies that serve now and don't drain
-    TimePoint lastAsked;
+    TimePoint lastRequestAt;
     double missingSeconds = 0; ///< asked for without a copy
 };
 
@@ -39,11 +39,11 @@
     const RunnerBook *book = nullptr;
     const CopyMove *move = nullptr; ///< under way; null: none
     std::vector<std::size_t> holds; ///< models that serve there now and don't drain
-    bool isTaken = false; ///< has an order of this round, or waits for one
+    bool isReserved = false; ///< has an order of this round, or waits for one
 };
 
 /// Where one more copy of a model could go.
-struct Slot {
+struct Placement {
     std::size_t runner = 0;
     WeightSource source = WeightSource::Store;
     std::vector<std::size_t> evicted; ///< models evicted there
@@ -58,42 +58,42 @@
     auto plan() -> CopyPlan
     {
         continueMoves();
-        addWhereItGains();
+        addCopies();
         return std::move(m_plan);
     }
 
 private:
     struct Choice {
         std::size_t model = 0;
-        Slot slot;
+        Placement placement;
         double gain = NoGain;
     };
-    auto slots() const -> double;
+    auto modelSlots() const -> double;
     auto workOf(const ModelDeclaration &model) const -> double;
     auto addRunner(const RunnerBook &book) -> void;
     auto indexOf(const std::string &model) const -> std::optional<std::size_t>;
     auto nameOf(std::size_t model) const -> const std::string &;
     auto idOf(const PlannedRunner &runner) const -> const TargetId &;
-    auto withoutCopy(std::size_t model) const -> double;
-    auto lost(const CopySpread &spread) const -> double;
+    auto lossWithoutCopy(std::size_t model) const -> double;
+    auto lostWork(const CopySpread &spread) const -> double;
 
     auto continueMoves() -> void;
     auto continueMove(std::size_t runner) -> void;
-    auto isStillWorthIt(std::size_t runner, std::size_t incoming) const -> bool;
+    auto isMoveWorthwhile(std::size_t runner, std::size_t incoming) const -> bool;
     auto abort(std::size_t runner, std::size_t incoming) -> void;
     auto unloadDrained(PlannedRunner &runner) -> void;
     auto isDrained(const PlannedRunner &runner, const std::string &model) const -> bool;
 
-    auto addWhereItGains() -> void;
+    auto addCopies() -> void;
     auto candidates() const -> std::vector<std::size_t>;
-    auto hopedFor(std::size_t model, double least) const -> double;
-    auto slotsFor(std::size_t model) const -> std::vector<Slot>;
-    auto slotOn(std::size_t runner, std::size_t model) const -> std::optional<Slot>;
-    auto mayEvictLast(std::size_t incoming) const -> bool;
+    auto potentialGain(std::size_t model, double least) const -> double;
+    auto placementsFor(std::size_t model) const -> std::vector<Placement>;
+    auto placementOn(std::size_t runner, std::size_t model) const -> std::optional<Placement>;
+    auto mayEvictLastReplica(std::size_t incoming) const -> bool;
     auto chooseEvictions(std::size_t runner, std::size_t incoming, Bytes missing) const -> std::optional<std::vector<std::size_t>>;
     auto streamsAt(std::size_t runner, std::size_t model) const -> double;
-    auto weightsThere(const PlannedRunner &runner, std::size_t model) const -> Bytes;
-    auto gainOf(std::size_t model, const Slot &slot, double lostNow) const -> double;
+    auto memoryHeld(const PlannedRunner &runner, std::size_t model) const -> Bytes;
+    auto gainOf(std::size_t model, const Placement &placement, double lostNow) const -> double;
     auto carryOut(const Choice &choice) -> void;
     auto load(std::size_t runner, std::size_t model, WeightSource source, const char *why) -> void;
     auto order(PlannedRunner &runner, const RunnerOrder &what, WeightSource source, const char *why) -> PlannedOrder &;
@@ -120,8 +120,8 @@
     for (const auto &model : input.engine->models()) {
         m_models.push_back({.declared = &model, .work = workOf(model)});
         auto &planned = m_models.back();
-        const auto asked = input.lastAsked.find(model.name);
-        planned.lastAsked = asked == input.lastAsked.end() ? TimePoint() : asked->second;
+        const auto asked = input.lastRequestAt.find(model.name);
+        planned.lastRequestAt = asked == input.lastRequestAt.end() ? TimePoint() : asked->second;
         const auto missing = input.missingSince.find(model.name);
         planned.missingSeconds = missing == input.missingSince.end() ? 0 : (now - missing->second).inSeconds();
         m_spread.setWork(m_models.size() - 1, m_models.back().work);
@@ -129,12 +129,12 @@
     for (const auto *book : input.runners) {
         addRunner(*book);
     }
-    m_spread.settle();
-    m_allFit = slots() >= options.slotsForAll * static_cast<double>(m_models.size());
+    m_spread.rebalance();
+    m_allFit = modelSlots() >= options.modelSlotsToFitAll * static_cast<double>(m_models.size());
 }
 
 /// Models of the mean size that the runners hold at once.
-auto Round::slots() const -> double
+auto Round::modelSlots() const -> double
 {
     double weights = 0;
     for (const auto &model : m_models) {
@@ -152,7 +152,7 @@
     const auto &asked = found == m_input.work.end() ? none : found->second;
     // A runner whose adapter slots are all in use refuses as many as one whose time is.
     const double slots = std::max(m_input.engine->adapterSlots, 1);
-    return std::max({asked.now, asked.soon, asked.activeAdapters / slots * m_options.adapterFill});
+    return std::max({asked.now, asked.soon, asked.activeAdapters / slots * m_options.fullAdapterSlotsWork});
 }
 
 auto Round::indexOf(const std::string &model) const -> std::optional<std::size_t>
@@ -193,8 +193,8 @@
             m_spread.add(*index, number);
         }
     }
-    for (const auto &coming : {book.loading(), runner.move != nullptr ? std::optional(runner.move->incoming) : std::nullopt}) {
-        if (const auto index = coming ? indexOf(*coming) : std::nullopt) {
+    for (const auto &expected : {book.loading(), runner.move != nullptr ? std::optional(runner.move->incoming) : std::nullopt}) {
+        if (const auto index = expected ? indexOf(*expected) : std::nullopt) {
             m_spread.add(*index, number);
         }
     }
@@ -202,24 +202,25 @@
 }
 
 /// What is lost with a model that has no copy: all that is asked for, and that nobody can ask for it.
-auto Round::withoutCopy(std::size_t model) const -> double
+auto Round::lossWithoutCopy(std::size_t model) const -> double
 {
-    const double waited = 1 + m_models[model].missingSeconds / m_options.missingDoubles.inSeconds();
-    return m_models[model].work * m_options.missingWork * waited + m_options.silentModel + m_models[model].declared->adapters * m_options.adaptersWorth;
+    const double waited = 1 + m_models[model].missingSeconds / m_options.missingGrowthTime.inSeconds();
+    return m_models[model].work * m_options.missingModelFactor * waited + m_options.missingModelWork
+        + m_models[model].declared->adapters * m_options.missingAdapterWork;
 }
 
-auto Round::lost(const CopySpread &spread) const -> double
+auto Round::lostWork(const CopySpread &spread) const -> double
 {
-    double sum = spread.lost(m_options.loss);
+    double sum = spread.lostWork(m_options.loss);
     for (std::size_t model = 0; model < m_models.size(); ++model) {
-        sum += spread.copies(model) == 0 ? withoutCopy(model) : 0;
+        sum += spread.copies(model) == 0 ? lossWithoutCopy(model) : 0;
     }
     return sum;
 }
 
 auto Round::order(PlannedRunner &runner, const RunnerOrder &what, WeightSource source, const char *why) -> PlannedOrder &
 {
-    runner.isTaken = true;
+    runner.isReserved = true;
     const auto index = indexOf(what.model);
     PlannedOrder planned;
     planned.target = idOf(runner);
@@ -235,7 +236,7 @@
 auto Round::load(std::size_t runner, std::size_t model, WeightSource source, const char *why) -> void
 {
     m_spread.add(model, runner);
-    m_spread.settle();
+    m_spread.rebalance();
     m_storeLoads -= source == WeightSource::Store ? 1 : 0;
     order(m_runners[runner], {true, nameOf(model), ""}, source, why);
 }
@@ -256,7 +257,7 @@
     auto &runner = m_runners[number];
     const auto &move = *runner.move;
     const auto incoming = indexOf(move.incoming);
-    if (!incoming || !isStillWorthIt(number, *incoming)) {
+    if (!incoming || !isMoveWorthwhile(number, *incoming)) {
         abort(number, incoming.value_or(m_models.size()));
         return;
     }
@@ -266,12 +267,12 @@
         load(number, *incoming, source, "evicted");
         return;
     }
-    runner.isTaken = true;
+    runner.isReserved = true;
     unloadDrained(runner);
 }
 
 /// Against using the draining replicas again.
-auto Round::isStillWorthIt(std::size_t runner, std::size_t incoming) const -> bool
+auto Round::isMoveWorthwhile(std::size_t runner, std::size_t incoming) const -> bool
 {
     const auto *book = m_runners[runner].book;
     if (book->loading() == nameOf(incoming)) {
@@ -285,8 +286,8 @@
             before.add(*index, runner);
         }
     }
-    before.settle();
-    return lost(before) - lost(m_spread) > m_options.abortGain;
+    before.rebalance();
+    return lostWork(before) - lostWork(m_spread) > m_options.minGainToContinue;
 }
 
 auto Round::abort(std::size_t number, std::size_t incoming) -> void
@@ -301,9 +302,9 @@
             m_spread.add(*index, number);
         }
     }
-    m_spread.settle();
+    m_spread.rebalance();
     m_plan.aborted.push_back(idOf(runner));
-    runner.isTaken = true;
+    runner.isReserved = true;
     --m_moves;
 }
 
@@ -323,26 +324,26 @@
 auto Round::isDrained(const PlannedRunner &runner, const std::string &model) const -> bool
 {
     const auto waited = m_now - runner.move->since;
-    const auto reported = m_input.streams.find({idOf(runner), model});
-    if (reported == m_input.streams.end()) {
-        return waited >= m_options.reportWithin;
+    const auto reported = m_input.drainingStreams.find({idOf(runner), model});
+    if (reported == m_input.drainingStreams.end()) {
+        return waited >= m_options.streamReportTimeout;
     }
-    return reported->second == 0 || waited >= m_options.longestWait;
+    return reported->second == 0 || waited >= m_options.maxDrainTime;
 }
 
 // [SECTION] Slots
 
 /// The replica that saves the most comes first, as long as one is worth it.
-auto Round::addWhereItGains() -> void
+auto Round::addCopies() -> void
 {
-    for (int changes = 0; changes < m_options.mostChanges; ++changes) {
+    for (int changes = 0; changes < m_options.maxChangesPerRound; ++changes) {
         Choice best;
-        const double lostNow = lost(m_spread);
+        const double lostNow = lostWork(m_spread);
         for (const auto model : candidates()) {
-            for (const auto &slot : slotsFor(model)) {
-                const double gain = gainOf(model, slot, lostNow);
+            for (const auto &placement : placementsFor(model)) {
+                const double gain = gainOf(model, placement, lostNow);
                 if (gain > best.gain) {
-                    best = {model, slot, gain};
+                    best = {model, placement, gain};
                 }
             }
         }
@@ -358,63 +359,63 @@
 {
     double least = std::numeric_limits<double>::infinity();
     for (std::size_t runner = 0; runner < m_runners.size(); ++runner) {
-        least = std::min(least, m_runners[runner].isTaken ? least : m_spread.load(runner));
+        least = std::min(least, m_runners[runner].isReserved ? least : m_spread.load(runner));
     }
     std::vector<std::pair<double, std::size_t>> ranked;
     for (std::size_t model = 0; model < m_models.size(); ++model) {
         const bool isMissing = m_spread.copies(model) == 0;
-        const double most = isMissing ? withoutCopy(model) : hopedFor(model, least);
-        if (most > m_options.leastGain) {
+        const double most = isMissing ? lossWithoutCopy(model) : potentialGain(model, least);
+        if (most > m_options.minLoadGain) {
             ranked.emplace_back(most, model);
         }
     }
     std::sort(ranked.rbegin(), ranked.rend());
     std::vector<std::size_t> list;
-    for (std::size_t i = 0; i < std::min(ranked.size(), MostCandidates); ++i) {
+    for (std::size_t i = 0; i < std::min(ranked.size(), MaxCandidateModels); ++i) {
         list.push_back(ranked[i].second);
     }
     return list;
 }
 
 /// Were as much of its work moved as makes two runners even.
-auto Round::hopedFor(std::size_t model, double least) const -> double
+auto Round::potentialGain(std::size_t model, double least) const -> double
 {
     const auto &loss = m_options.loss;
-    const double level = m_spread.level(model);
+    const double level = m_spread.lowestLoad(model);
     const double moved = std::min(m_models[model].work, std::max(level - least, 0.0)) / 2;
-    return loss.lost(level) - loss.lost(level - moved) + loss.lost(least) - loss.lost(least + moved);
+    return loss.lostWork(level) - loss.lostWork(level - moved) + loss.lostWork(least) - loss.lostWork(least + moved);
 }
 
-auto Round::slotsFor(std::size_t model) const -> std::vector<Slot>
+auto Round::placementsFor(std::size_t model) const -> std::vector<Placement>
 {
-    std::vector<Slot> list;
+    std::vector<Placement> list;
     for (std::size_t runner = 0; runner < m_runners.size(); ++runner) {
-        if (auto slot = slotOn(runner, model)) {
-            list.push_back(std::move(*slot));
+        if (auto placement = placementOn(runner, model)) {
+            list.push_back(std::move(*placement));
         }
     }
-    std::sort(list.begin(), list.end(), [](const Slot &a, const Slot &b) { return a.rank < b.rank; });
-    list.resize(std::min(list.size(), MostSlots));
+    std::sort(list.begin(), list.end(), [](const Placement &a, const Placement &b) { return a.rank < b.rank; });
+    list.resize(std::min(list.size(), MaxPlacementsPerModel));
     return list;
 }
 
 /// A runner with time before a busy one, free memory before an eviction, a quick load before a slow one.
-auto Round::slotOn(std::size_t number, std::size_t model) const -> std::optional<Slot>
+auto Round::placementOn(std::size_t number, std::size_t model) const -> std::optional<Placement>
 {
     const auto &runner = m_runners[number];
     const auto source = runner.book->sourceOf(nameOf(model));
     const bool isAllowed = source != WeightSource::Store || m_storeLoads > 0;
-    if (runner.isTaken || !isAllowed || m_spread.holds(model, number)) {
+    if (runner.isReserved || !isAllowed || m_spread.holds(model, number)) {
         return std::nullopt;
     }
-    Slot slot {.runner = number, .source = source};
-    slot.rank = m_spread.load(number) + SourceCost * static_cast<int>(source);
+    Placement placement {.runner = number, .source = source};
+    placement.rank = m_spread.load(number) + SourceCost * static_cast<int>(source);
     if (runner.book->mayOrder({true, nameOf(model), ""}, *m_input.engine, m_now)) {
-        return slot;
+        return placement;
     }
-    const bool isResting = m_now - runner.book->modelOrderedAt() < m_options.restTime;
-    const bool isTooMuch = static_cast<double>(m_moves) >= m_options.mostDraining * static_cast<double>(m_runners.size());
-    if (isResting || isTooMuch) {
+    const bool isCoolingDown = m_now - runner.book->modelOrderedAt() < m_options.evictionCooldown;
+    const bool isDrainLimitReached = static_cast<double>(m_moves) >= m_options.maxDrainingShare * static_cast<double>(m_runners.size());
+    if (isCoolingDown || isDrainLimitReached) {
         return std::nullopt;
     }
     const auto missing = m_models[model].declared->weights - runner.book->freeMemory(*m_input.engine, m_now);
@@ -426,19 +427,19 @@
         return std::nullopt;
     }
     for (const auto victim : *evicted) {
-        slot.rank += SourceCost + m_spread.share(victim, number) + m_options.streamCost * streamsAt(number, victim);
+        placement.rank += SourceCost + m_spread.share(victim, number) + m_options.drainingStreamWork * streamsAt(number, victim);
     }
-    slot.evicted = std::move(*evicted);
-    return slot;
+    placement.evicted = std::move(*evicted);
+    return placement;
 }
 
 auto Round::streamsAt(std::size_t runner, std::size_t model) const -> double
 {
-    return m_input.likelyStreams ? m_input.likelyStreams({idOf(m_runners[runner]), nameOf(model)}) : 0;
+    return m_input.estimatedStreams ? m_input.estimatedStreams({idOf(m_runners[runner]), nameOf(model)}) : 0;
 }
 
 /// Whether another model's only copy may be evicted for this one: then the gain decides.
-auto Round::mayEvictLast(std::size_t incoming) const -> bool
+auto Round::mayEvictLastReplica(std::size_t incoming) const -> bool
 {
     const bool isMissing = m_spread.copies(incoming) == 0;
     return m_input.isDemandKnown && m_models[incoming].work > 0 && (isMissing || !m_allFit);
@@ -452,36 +453,36 @@
         return std::nullopt;
     }
     const auto &runner = m_runners[number];
-    std::vector<std::size_t> mayGo;
+    std::vector<std::size_t> evictable;
     for (const auto model : runner.holds) {
-        const bool isNeeded = m_models[model].usable < 2 && !mayEvictLast(incoming);
+        const bool isNeeded = m_models[model].usable < 2 && !mayEvictLastReplica(incoming);
         if (!isNeeded && m_spread.holds(model, number) && runner.book->mayOrder({false, nameOf(model), ""}, *m_input.engine, m_now)) {
-            mayGo.push_back(model);
+            evictable.push_back(model);
         }
     }
-    const auto isMissedLess = [&](std::size_t a, std::size_t b) {
-        const auto harm = [&](std::size_t model) {
+    const auto isCheaperToEvict = [&](std::size_t a, std::size_t b) {
+        const auto evictionCost = [&](std::size_t model) {
             const bool isLast = m_models[model].usable < 2;
-            const double inUse = m_spread.share(model, number) + m_options.streamCost * streamsAt(number, model);
-            return std::tuple(isLast ? withoutCopy(model) : inUse, m_models[model].lastAsked, m_models[model].work, model);
+            const double inUse = m_spread.share(model, number) + m_options.drainingStreamWork * streamsAt(number, model);
+            return std::tuple(isLast ? lossWithoutCopy(model) : inUse, m_models[model].lastRequestAt, m_models[model].work, model);
         };
-        return harm(a) < harm(b);
+        return evictionCost(a) < evictionCost(b);
     };
-    std::sort(mayGo.begin(), mayGo.end(), isMissedLess);
+    std::sort(evictable.begin(), evictable.end(), isCheaperToEvict);
     std::vector<std::size_t> evicted;
-    for (const auto model : mayGo) {
+    for (const auto model : evictable) {
         if (missing <= Bytes()) {
             break;
         }
         evicted.push_back(model);
-        missing -= weightsThere(runner, model);
+        missing -= memoryHeld(runner, model);
     }
     if (missing > Bytes()) {
         return std::nullopt;
     }
     // What turned out not to be needed stays, the most missed first.
     for (std::size_t i = evicted.size(); i > 0; --i) {
-        const auto size = weightsThere(runner, evicted[i - 1]);
+        const auto size = memoryHeld(runner, evicted[i - 1]);
         if (missing + size <= Bytes()) {
             missing += size;
             evicted.erase(evicted.begin() + static_cast<std::ptrdiff_t>(i - 1));
@@ -491,7 +492,7 @@
 }
 
 /// With its adapters there.
-auto Round::weightsThere(const PlannedRunner &runner, std::size_t model) const -> Bytes
+auto Round::memoryHeld(const PlannedRunner &runner, std::size_t model) const -> Bytes
 {
     const auto *declared = m_models[model].declared;
     const auto *held = runner.book->description().model(declared->name);
@@ -500,39 +501,39 @@
 }
 
 /// Work that is no longer late or lost, less what the change must bring at least.
-auto Round::gainOf(std::size_t model, const Slot &slot, double lostNow) const -> double
+auto Round::gainOf(std::size_t model, const Placement &placement, double lostNow) const -> double
 {
     auto after = m_spread;
-    after.add(model, slot.runner);
-    for (const auto victim : slot.evicted) {
-        after.remove(victim, slot.runner);
+    after.add(model, placement.runner);
+    for (const auto victim : placement.evicted) {
+        after.remove(victim, placement.runner);
     }
-    after.settle();
-    const double least = slot.evicted.empty() ? m_options.leastGain : m_options.swapCost;
-    return lostNow - lost(after) - least;
+    after.rebalance();
+    const double least = placement.evicted.empty() ? m_options.minLoadGain : m_options.minEvictionGain;
+    return lostNow - lostWork(after) - least;
 }
 
 auto Round::carryOut(const Choice &choice) -> void
 {
     const char *why = m_spread.copies(choice.model) == 0 ? "no-copy" : "busy";
-    const auto &slot = choice.slot;
-    if (slot.evicted.empty()) {
-        load(slot.runner, choice.model, slot.source, why);
+    const auto &placement = choice.placement;
+    if (placement.evicted.empty()) {
+        load(placement.runner, choice.model, placement.source, why);
         return;
     }
-    auto &runner = m_runners[slot.runner];
+    auto &runner = m_runners[placement.runner];
     CopyMove move {.incoming = nameOf(choice.model), .since = m_now};
-    for (const auto victim : slot.evicted) {
+    for (const auto victim : placement.evicted) {
         move.evicted.insert(nameOf(victim));
         if (m_models[victim].usable < 2) {
             move.lastReplicas.insert(nameOf(victim));
         }
-        m_spread.remove(victim, slot.runner);
+        m_spread.remove(victim, placement.runner);
         --m_models[victim].usable;
     }
-    m_spread.add(choice.model, slot.runner);
-    m_spread.settle();
-    runner.isTaken = true;
+    m_spread.add(choice.model, placement.runner);
+    m_spread.rebalance();
+    runner.isReserved = true;
     ++m_moves;
     m_plan.begun.push_back({idOf(runner), move, why, choice.gain});
 }
--- a/src/core/copyplan.h
+++ b/src/core/copyplan.h
@@ -67,10 +67,10 @@
     std::set<TargetId> failing; ///< runners that don't answer: what they hold is of no use now
     std::map<TargetId, CopyMove> moves; ///< under way
     bool isDemandKnown = true; ///< arrivals have been counted for long enough that a model without any is a silent one
-    std::map<std::string, TimePoint> lastAsked; ///< by model, of its last request; not there: none was seen
+    std::map<std::string, TimePoint> lastRequestAt; ///< by model, of its last request; not there: none was seen
     std::map<std::string, TimePoint> missingSince; ///< by model, since when it is asked for without a copy
-    std::map<CopyKey, int> streams; ///< under way at draining replicas, over all gateways; not there: not all have reported
-    std::function<double(const CopyKey &copy)> likelyStreams; ///< under way at any copy, by what is known here; none: not known
+    std::map<CopyKey, int> drainingStreams; ///< under way at draining replicas, over all gateways; not there: not all have reported
+    std::function<double(const CopyKey &copy)> estimatedStreams; ///< under way at any copy, by what is known here; none: not known
 
     auto isDraining(const TargetId &target, const std::string &model) const -> bool;
 };
@@ -79,21 +79,21 @@
 
 struct CopyPlanOptions {
     LossCurve loss;
-    double leastGain = 0.01; ///< runners of work saved that pay for a load
-    double swapCost = 0.03; ///< runners of work saved that pay for an eviction and a load
-    double abortGain = -0.1; ///< a move that gains less is aborted; below 0, as demand is noisy
-    double streamCost = 0.01; ///< share of a runner's time that a stream to be drained counts as
-    double missingWork = 2; ///< factor on the work of a model without a replica; above the steepest slope of the loss
-    Duration missingDoubles = Duration::seconds(4); ///< such work counts once more after each span
-    double slotsForAll = 1.25; ///< slots for each declared model from which on all stay loaded
-    double silentModel = 0.1; ///< runners of work that a model without a replica counts as, beside its requests
-    double adaptersWorth = 0.0015; ///< likewise, for each of its declared adapters
-    double adapterFill = 0.15; ///< runners of work that a runner with all adapter slots in use counts as
-    int mostChanges = 16; ///< loads and moves that one round begins, the best first; bounds the time of a round
-    Duration restTime = Duration::seconds(3); ///< after an order on a model, until a replica of that runner may drain
-    double mostDraining = 0.34; ///< share of the runners that may have a move under way
-    Duration reportWithin = Duration::millis(1500); ///< gateways that haven't reported their streams by then count as having none
-    Duration longestWait = Duration::seconds(5); ///< for the streams of a draining replica
+    double minLoadGain = 0.01; ///< runners of work saved that pay for a load
+    double minEvictionGain = 0.03; ///< runners of work saved that pay for an eviction and a load
+    double minGainToContinue = -0.1; ///< a move that gains less is aborted; below 0, as demand is noisy
+    double drainingStreamWork = 0.01; ///< share of a runner's time that a stream to be drained counts as
+    double missingModelFactor = 2; ///< factor on the work of a model without a replica; above the steepest slope of the loss
+    Duration missingGrowthTime = Duration::seconds(4); ///< such work counts once more after each span
+    double modelSlotsToFitAll = 1.25; ///< slots for each declared model from which on all stay loaded
+    double missingModelWork = 0.1; ///< runners of work that a model without a replica counts as, beside its requests
+    double missingAdapterWork = 0.0015; ///< likewise, for each of its declared adapters
+    double fullAdapterSlotsWork = 0.15; ///< runners of work that a runner with all adapter slots in use counts as
+    int maxChangesPerRound = 16; ///< loads and moves that one round begins, the best first; bounds the time of a round
+    Duration evictionCooldown = Duration::seconds(3); ///< after an order on a model, until a replica of that runner may drain
+    double maxDrainingShare = 0.34; ///< share of the runners that may have a move under way
+    Duration streamReportTimeout = Duration::millis(1500); ///< gateways that haven't reported their streams by then count as having none
+    Duration maxDrainTime = Duration::seconds(5); ///< for the streams of a draining replica
 };
 
 // [SECTION] Plan
--- a/src/core/copyspread.cpp
+++ b/src/core/copyspread.cpp
@@ -11,11 +11,11 @@
 
 /// Rounds over all models. Two bring the loads within some hundredths of where they end.
 constexpr int Sweeps = 3;
-constexpr double NoWork = 1e-6;
+constexpr double NegligibleWork = 1e-6;
 
 } // namespace
 
-auto LossCurve::lost(double work) const -> double
+auto LossCurve::lostWork(double work) const -> double
 {
     const auto sigmoid = [this](double some) {
         const double power = std::pow(some / halfLost, steepness);
@@ -61,7 +61,7 @@
     return found == m_copies[model].end() ? 0 : found->work;
 }
 
-auto CopySpread::level(std::size_t model) const -> double
+auto CopySpread::lowestLoad(std::size_t model) const -> double
 {
     const auto &copies = m_copies[model];
     if (copies.empty()) {
@@ -73,11 +73,11 @@
     return m_loads[std::min_element(copies.begin(), copies.end(), emptier)->runner];
 }
 
-auto CopySpread::lost(const LossCurve &curve) const -> double
+auto CopySpread::lostWork(const LossCurve &curve) const -> double
 {
     double sum = 0;
     for (const double load : m_loads) {
-        sum += curve.lost(load);
+        sum += curve.lostWork(load);
     }
     return sum;
 }
@@ -100,11 +100,11 @@
     std::erase_if(m_copies[model], [&](const Copy &copy) { return copy.runner == runner; });
 }
 
-auto CopySpread::settle() -> void
+auto CopySpread::rebalance() -> void
 {
     m_order.clear();
     for (std::size_t model = 0; model < m_work.size(); ++model) {
-        if (m_work[model] > NoWork && !m_copies[model].empty()) {
+        if (m_work[model] > NegligibleWork && !m_copies[model].empty()) {
             m_order.push_back(model);
         }
     }
--- a/src/core/copyspread.h
+++ b/src/core/copyspread.h
@@ -22,7 +22,7 @@
     double halfLost = 0.7; ///< where half of it is
     double steepness = 2.5; ///< streams stall behind the prompts of others long before a runner is full
 
-    auto lost(double work) const -> double;
+    auto lostWork(double work) const -> double;
 };
 
 // [SECTION] CopySpread
@@ -39,14 +39,14 @@
     auto holds(std::size_t model, std::size_t runner) const -> bool;
     auto load(std::size_t runner) const -> double; ///< work there; 1 fills its time
     auto share(std::size_t model, std::size_t runner) const -> double; ///< of that, the model's
-    auto level(std::size_t model) const -> double; ///< load of the emptiest runner with the model; 0 without a copy
-    auto lost(const LossCurve &curve) const -> double; ///< work that is late or lost on runners; what has no copy isn't counted
+    auto lowestLoad(std::size_t model) const -> double; ///< load of the emptiest runner with the model; 0 without a copy
+    auto lostWork(const LossCurve &curve) const -> double; ///< work that is late or lost on runners; what has no copy isn't counted
 
-    // Commands. After some of them call settle().
+    // Commands. After some of them call rebalance().
     auto setWork(std::size_t model, double work) -> void;
     auto add(std::size_t model, std::size_t runner) -> void;
     auto remove(std::size_t model, std::size_t runner) -> void;
-    auto settle() -> void; ///< spreads the work anew
+    auto rebalance() -> void; ///< spreads the work anew
 
 private:
     struct Copy {
--- a/src/core/demand.cpp
+++ b/src/core/demand.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-constexpr double ServiceShare = 0.1; ///< weight of one request in the mean service time
-constexpr int MostBucketsAtOnce = 600; ///< after a longer pause nothing is left of any level
-constexpr double LeastNoise = 1.0; ///< a variance below one request tells nothing
-constexpr double MostTrendShare = 1.0; ///< the trend adds at most the level once more
+constexpr double ServiceTimeWeight = 0.1; ///< weight of one request in the mean service time
+constexpr int MaxBucketsAtOnce = 600; ///< after a longer pause nothing is left of any level
+constexpr double MinVariance = 1.0; ///< a variance below one request tells nothing
+constexpr double MaxTrendShare = 1.0; ///< the trend adds at most the level once more
 
 } // namespace
 
@@ -91,7 +91,7 @@
 {
     auto &mean = m_series[artifact].serviceMicros;
     const auto micros = static_cast<double>(serviceTime.inMicros());
-    mean = mean == 0 ? micros : mean + ServiceShare * (micros - mean);
+    mean = mean == 0 ? micros : mean + ServiceTimeWeight * (micros - mean);
 }
 
 auto DemandForecast::merge(const DemandDigest &digest, TimePoint now) -> void
@@ -112,7 +112,7 @@
     int closed = 0;
     while (now - m_bucketStart >= m_options.bucket) {
         m_bucketStart = m_bucketStart + m_options.bucket;
-        if (++closed > MostBucketsAtOnce) {
+        if (++closed > MaxBucketsAtOnce) {
             m_bucketStart = now;
             return;
         }
@@ -125,27 +125,27 @@
     const double forgetBelow = m_options.forgetBelow * m_options.bucket.inSeconds();
     for (auto place = m_series.begin(); place != m_series.end();) {
         close(place->second);
-        const bool isOver = place->second.level < forgetBelow && place->second.missedLevel < forgetBelow;
-        place = isOver ? m_series.erase(place) : std::next(place);
+        const bool isNegligible = place->second.level < forgetBelow && place->second.missedLevel < forgetBelow;
+        place = isNegligible ? m_series.erase(place) : std::next(place);
     }
 }
 
 auto DemandForecast::close(Series &series) const -> void
 {
-    const double deviation = std::sqrt(std::max(series.level, LeastNoise));
+    const double deviation = std::sqrt(std::max(series.level, MinVariance));
     const double before = series.level;
     const double recent = (series.count + series.previous) / 2;
     // A tenfold step must not wait for the slow mean: callers are late meanwhile. Two buckets that chance can't explain are the new level.
-    const bool isStep = recent > series.level + m_options.surprise * deviation / std::sqrt(2.0) && series.previous > series.level;
+    const bool isStep = recent > series.level + m_options.stepDeviations * deviation / std::sqrt(2.0) && series.previous > series.level;
     if (isStep) {
         series.level = recent;
         series.trend = 0;
     } else {
-        const double weight = series.count > series.level ? m_options.rise : m_options.fall;
+        const double weight = series.count > series.level ? m_options.riseWeight : m_options.fallWeight;
         series.level += weight * (series.count - series.level);
-        series.trend += m_options.trendShare * ((series.level - before) - series.trend);
+        series.trend += m_options.trendWeight * ((series.level - before) - series.trend);
     }
-    series.missedLevel += m_options.rise * (series.missedCount - series.missedLevel);
+    series.missedLevel += m_options.riseWeight * (series.missedCount - series.missedLevel);
     series.previous = series.count;
     series.count = 0;
     series.missedCount = 0;
@@ -153,7 +153,7 @@
 
 auto DemandForecast::projected(const Series &series, double buckets) const -> double
 {
-    const double added = std::clamp(series.trend * buckets, -series.level, series.level * MostTrendShare);
+    const double added = std::clamp(series.trend * buckets, -series.level, series.level * MaxTrendShare);
     return std::max(0.0, series.level + added);
 }
 
--- a/src/core/demand.h
+++ b/src/core/demand.h
@@ -36,10 +36,10 @@
 
 struct DemandOptions {
     Duration bucket = Duration::seconds(1); ///< arrivals are counted in these
-    double rise = 0.3; ///< weight of a bucket above the level
-    double fall = 0.04; ///< weight of one below: half of a burst is forgotten after 17 buckets
-    double trendShare = 0.1;
-    double surprise = 4.0; ///< standard deviations of a Poisson count that make a step
+    double riseWeight = 0.3; ///< weight of a bucket above the level
+    double fallWeight = 0.04; ///< weight of one below: half of a burst is forgotten after 17 buckets
+    double trendWeight = 0.1;
+    double stepDeviations = 4.0; ///< standard deviations of a Poisson count that make a step
     Duration digestLifetime = Duration::seconds(5); ///< an entry that is silent for longer no longer counts
     double forgetBelow = 0.0005; ///< per second; artifacts asked for less are dropped from the state
 };
--- a/src/core/demandhistory.cpp
+++ b/src/core/demandhistory.cpp
@@ -3,19 +3,19 @@
 namespace KingCup
 {
 
-DemandHistory::DemandHistory(Duration knownAfter)
-    : m_knownAfter(knownAfter)
+DemandHistory::DemandHistory(Duration warmupTime)
+    : m_warmupTime(warmupTime)
 {
 }
 
 auto DemandHistory::isKnown(TimePoint now) const -> bool
 {
-    return m_firstAskedAt && now - *m_firstAskedAt >= m_knownAfter;
+    return m_firstRequestAt && now - *m_firstRequestAt >= m_warmupTime;
 }
 
-auto DemandHistory::lastAsked() const -> const std::map<std::string, TimePoint> &
+auto DemandHistory::lastRequestAt() const -> const std::map<std::string, TimePoint> &
 {
-    return m_lastAsked;
+    return m_lastRequestAt;
 }
 
 auto DemandHistory::missingSince(const ServiceName &service) const -> std::map<std::string, TimePoint>
@@ -26,23 +26,24 @@
 
 auto DemandHistory::restart() -> void
 {
-    m_firstAskedAt.reset();
-    m_lastAsked.clear();
+    m_firstRequestAt.reset();
+    m_lastRequestAt.clear();
     m_missingSince.clear();
 }
 
-auto DemandHistory::modelAsked(const std::string &model, TimePoint now) -> void
+auto DemandHistory::modelRequested(const std::string &model, TimePoint now) -> void
 {
-    m_lastAsked[model] = now;
-    m_firstAskedAt = m_firstAskedAt.value_or(now);
+    m_lastRequestAt[model] = now;
+    m_firstRequestAt = m_firstRequestAt.value_or(now);
 }
 
-auto DemandHistory::noteMissing(const ServiceName &service, const std::set<std::string> &asked, const std::set<std::string> &there, TimePoint now) -> void
+auto DemandHistory::updateMissing(const ServiceName &service, const std::set<std::string> &requested, const std::set<std::string> &available, TimePoint now)
+    -> void
 {
     auto &missing = m_missingSince[service];
-    std::erase_if(missing, [&](const auto &known) { return there.contains(known.first) || !asked.contains(known.first); });
-    for (const auto &model : asked) {
-        if (!there.contains(model)) {
+    std::erase_if(missing, [&](const auto &known) { return available.contains(known.first) || !requested.contains(known.first); });
+    for (const auto &model : requested) {
+        if (!available.contains(model)) {
             missing.try_emplace(model, now);
         }
     }
--- a/src/core/demandhistory.h
+++ b/src/core/demandhistory.h
@@ -15,25 +15,25 @@
 class DemandHistory
 {
 public:
-    /// `knownAfter`: from the first request on, until a model without any counts as a silent one.
-    explicit DemandHistory(Duration knownAfter);
+    /// `warmupTime`: from the first request on, until a model without any counts as a silent one.
+    explicit DemandHistory(Duration warmupTime);
 
     // Queries
     auto isKnown(TimePoint now) const -> bool;
-    auto lastAsked() const -> const std::map<std::string, TimePoint> &; ///< by model
+    auto lastRequestAt() const -> const std::map<std::string, TimePoint> &; ///< by model
     /// By model, since when it is asked for without a replica.
     auto missingSince(const ServiceName &service) const -> std::map<std::string, TimePoint>;
 
     // Commands
     auto restart() -> void; ///< a new tenure
-    auto modelAsked(const std::string &model, TimePoint now) -> void;
-    /// `asked`: the service's models with requests now; `there`: those that are held or being loaded.
-    auto noteMissing(const ServiceName &service, const std::set<std::string> &asked, const std::set<std::string> &there, TimePoint now) -> void;
+    auto modelRequested(const std::string &model, TimePoint now) -> void;
+    /// `requested`: the service's models with requests now; `available`: those that are held or being loaded.
+    auto updateMissing(const ServiceName &service, const std::set<std::string> &requested, const std::set<std::string> &available, TimePoint now) -> void;
 
 private:
-    Duration m_knownAfter;
-    std::optional<TimePoint> m_firstAskedAt;
-    std::map<std::string, TimePoint> m_lastAsked;
+    Duration m_warmupTime;
+    std::optional<TimePoint> m_firstRequestAt;
+    std::map<std::string, TimePoint> m_lastRequestAt;
     std::map<ServiceName, std::map<std::string, TimePoint>> m_missingSince;
 };
 
--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -76,7 +76,7 @@
     double prefillMillis = 0; ///< expected for the uncached part of its prompt
     int ownTokens = 0; ///< the part of its prompt that no other request shares
     int prefillTokens = 0;
-    UrgencyBand band = UrgencyBand::Usual;
+    UrgencyBand band = UrgencyBand::Normal;
     std::int64_t tokens = 0;
     double slowness = 1; ///< of the target, as estimated when it was sent
     bool hasFirst = false;
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -46,7 +46,7 @@
     std::vector<PromptChain> prompt; ///< the last part is the request's own, the parts before it may be shared
     int promptTokens = 0;
     int outputTokens = 0; ///< upper limit
-    UrgencyBand band = UrgencyBand::Usual;
+    UrgencyBand band = UrgencyBand::Normal;
     Duration pauseGoal; ///< streams: the longest pause between events that is still on time; 0: no goal
     std::vector<TargetId> excluded; ///< already tried, or known to refuse the request
 };
--- a/src/core/floorplanning.cpp
+++ b/src/core/floorplanning.cpp
@@ -20,7 +20,7 @@
 };
 
 /// A runner while the plan is made.
-struct Slot {
+struct RunnerBudget {
     const RunnerState *runner = nullptr;
     Bytes usable; ///< without the KV cache's share
     Bytes used;
@@ -40,18 +40,18 @@
         , m_options(options)
     {
         collectBundles();
-        collectSlots();
+        collectBudgets();
     }
 
     auto run() -> FloorResult
     {
-        keepWhatIsPlaced();
+        keepCurrentCopies();
         for (const auto &bundle : m_bundles) {
             if (copies(bundle.base).empty() && !placeCopy(bundle, 1.0, "first-copy")) {
                 m_result.unplaced.push_back(bundle.base);
             }
         }
-        completeAdapters();
+        placeMissingAdapters();
         for (int wanted = 2; wanted <= m_input.declarations->policy.floorZones; ++wanted) {
             placeFurtherCopies(wanted);
         }
@@ -91,16 +91,16 @@
         std::stable_sort(m_bundles.begin(), m_bundles.end(), [](const auto &left, const auto &right) { return left.size > right.size; });
     }
 
-    auto collectSlots() -> void
+    auto collectBudgets() -> void
     {
         const double share = 1.0 - m_input.declarations->policy.kvReserve;
         for (const auto &runner : m_input.runners) {
-            const bool isThere = runner.isUsable || runner.downFor <= m_options.floorPatience;
-            if (!isThere || runner.isLeaving) {
+            const bool isAvailable = runner.isUsable || runner.downFor <= m_options.floorMoveDelay;
+            if (!isAvailable || runner.isLeaving) {
                 continue;
             }
             const auto usable = Bytes(static_cast<std::int64_t>(static_cast<double>(runner.memoryTotal.count()) * share));
-            m_slots[runner.id] = Slot {.runner = &runner, .usable = usable};
+            m_budgets[runner.id] = RunnerBudget {.runner = &runner, .usable = usable};
         }
     }
 
@@ -129,43 +129,43 @@
         return found == m_copies.end() ? None : found->second;
     }
 
-    auto put(Slot &slot, const ArtifactName &artifact) -> void
+    auto place(RunnerBudget &budget, const ArtifactName &artifact) -> void
     {
-        const auto &id = slot.runner->id;
+        const auto &id = budget.runner->id;
         if (m_result.plan.contains(id, artifact)) {
             return;
         }
         m_result.plan.add(id, artifact);
-        slot.used += sizeOf(artifact);
+        budget.used += sizeOf(artifact);
         if (m_baseOf.at(artifact) == artifact) {
             m_copies[artifact].insert(id);
-            ++slot.bundles;
+            ++budget.bundles;
         }
     }
 
-    auto keepWhatIsPlaced() -> void
+    auto keepCurrentCopies() -> void
     {
         for (const auto &target : m_input.floor.targets()) {
-            const auto slot = m_slots.find(target);
-            if (slot == m_slots.end()) {
+            const auto budget = m_budgets.find(target);
+            if (budget == m_budgets.end()) {
                 continue;
             }
-            keepOn(slot->second, m_input.floor.artifactsOn(target));
+            keepOn(budget->second, m_input.floor.artifactsOn(target));
         }
     }
 
-    auto keepOn(Slot &slot, const std::vector<ArtifactName> &artifacts) -> void
+    auto keepOn(RunnerBudget &budget, const std::vector<ArtifactName> &artifacts) -> void
     {
         // Bases before adapters: an adapter without its base is of no use.
         for (const bool bases : {true, false}) {
             for (const auto &artifact : artifacts) {
                 const auto base = m_baseOf.find(artifact);
                 const bool isDeclared = base != m_baseOf.end();
-                if (!isDeclared || (base->second == artifact) != bases || sizeOf(artifact) > slot.free()) {
+                if (!isDeclared || (base->second == artifact) != bases || sizeOf(artifact) > budget.free()) {
                     continue;
                 }
-                if (bases || m_result.plan.contains(slot.runner->id, base->second)) {
-                    put(slot, artifact);
+                if (bases || m_result.plan.contains(budget.runner->id, base->second)) {
+                    place(budget, artifact);
                 }
             }
         }
@@ -175,14 +175,14 @@
     {
         std::set<ZoneName> zones;
         for (const auto &id : copies(base)) {
-            zones.insert(m_slots.at(id).runner->zone);
+            zones.insert(m_budgets.at(id).runner->zone);
         }
         return zones;
     }
 
-    auto isResident(const Slot &slot, const ArtifactName &artifact) const -> bool
+    auto isResident(const RunnerBudget &budget, const ArtifactName &artifact) const -> bool
     {
-        const auto &list = slot.runner->residents;
+        const auto &list = budget.runner->residents;
         return std::any_of(list.begin(), list.end(), [&](const auto &resident) { return resident.artifact == artifact; });
     }
 
@@ -191,62 +191,62 @@
     auto placeCopy(const Bundle &bundle, double share, const std::string &why) -> bool
     {
         const auto zones = zonesOf(bundle.base);
-        Slot *best = nullptr;
+        RunnerBudget *best = nullptr;
         bool bestHolds = false;
-        for (auto &[id, slot] : m_slots) {
-            const auto limit = Bytes(static_cast<std::int64_t>(static_cast<double>(slot.usable.count()) * share));
-            const bool fits = slot.used + bundle.size <= limit;
-            const bool isOurs = slot.runner->service == bundle.service && slot.runner->isUsable;
-            if (!fits || !isOurs || zones.contains(slot.runner->zone)) {
+        for (auto &[id, budget] : m_budgets) {
+            const auto limit = Bytes(static_cast<std::int64_t>(static_cast<double>(budget.usable.count()) * share));
+            const bool fits = budget.used + bundle.size <= limit;
+            const bool isEligible = budget.runner->service == bundle.service && budget.runner->isUsable;
+            if (!fits || !isEligible || zones.contains(budget.runner->zone)) {
                 continue;
             }
-            const bool holds = isResident(slot, bundle.base);
-            const bool isBetter = best == nullptr || holds > bestHolds || (holds == bestHolds && slot.free() > best->free());
+            const bool holds = isResident(budget, bundle.base);
+            const bool isBetter = best == nullptr || holds > bestHolds || (holds == bestHolds && budget.free() > best->free());
             if (isBetter) {
-                best = &slot;
+                best = &budget;
                 bestHolds = holds;
             }
         }
         if (best == nullptr) {
             return false;
         }
-        put(*best, bundle.base);
+        place(*best, bundle.base);
         for (const auto &adapter : bundle.adapters) {
-            put(*best, adapter);
+            place(*best, adapter);
         }
-        note(bundle.base, best->runner->id, why + " zone=" + best->runner->zone.text() + (bestHolds ? " already-resident" : ""));
+        recordDecision(bundle.base, best->runner->id, why + " zone=" + best->runner->zone.text() + (bestHolds ? " already-resident" : ""));
         return true;
     }
 
-    auto note(const ArtifactName &artifact, const TargetId &target, const std::string &why) -> void
+    auto recordDecision(const ArtifactName &artifact, const TargetId &target, const std::string &why) -> void
     {
         m_result.decisions.push_back({PlacementKind::Floor, artifact, target, why});
     }
 
     /// An adapter that was declared after its base was placed: beside each copy of the base where it fits, at least beside one.
-    auto completeAdapters() -> void
+    auto placeMissingAdapters() -> void
     {
         for (const auto &bundle : m_bundles) {
             for (const auto &adapter : bundle.adapters) {
-                completeAdapter(bundle, adapter);
+                placeMissingAdapter(bundle, adapter);
             }
         }
     }
 
-    auto completeAdapter(const Bundle &bundle, const ArtifactName &adapter) -> void
+    auto placeMissingAdapter(const Bundle &bundle, const ArtifactName &adapter) -> void
     {
-        bool isSomewhere = false;
+        bool isPlaced = false;
         for (const auto &id : copies(bundle.base)) {
-            auto &slot = m_slots.at(id);
+            auto &budget = m_budgets.at(id);
             if (m_result.plan.contains(id, adapter)) {
-                isSomewhere = true;
-            } else if (sizeOf(adapter) <= slot.free()) {
-                put(slot, adapter);
-                note(adapter, id, "adapter-beside-base");
-                isSomewhere = true;
+                isPlaced = true;
+            } else if (sizeOf(adapter) <= budget.free()) {
+                place(budget, adapter);
+                recordDecision(adapter, id, "adapter-beside-base");
+                isPlaced = true;
             }
         }
-        if (isSomewhere) {
+        if (isPlaced) {
             return;
         }
         // No copy of the base has a free slot for it: a further copy of the base with this adapter alone.
@@ -279,7 +279,7 @@
         for (const auto &target : m_input.floor.targets()) {
             for (const auto &artifact : m_input.floor.artifactsOn(target)) {
                 if (!m_result.plan.contains(target, artifact)) {
-                    const bool isGone = !m_slots.contains(target);
+                    const bool isGone = !m_budgets.contains(target);
                     m_result.decisions.push_back({PlacementKind::Drop, artifact, target, isGone ? "runner-gone" : "not-declared-or-no-capacity"});
                 }
             }
@@ -290,7 +290,7 @@
     const PlacementOptions &m_options;
     std::vector<Bundle> m_bundles;
     std::map<ArtifactName, ArtifactName> m_baseOf; ///< a base is its own
-    std::map<TargetId, Slot> m_slots;
+    std::map<TargetId, RunnerBudget> m_budgets;
     std::map<ArtifactName, std::set<TargetId>> m_copies; ///< of bases
     FloorResult m_result;
 };
--- a/src/core/peerloads.cpp
+++ b/src/core/peerloads.cpp
@@ -52,7 +52,7 @@
         }
         sum.running += work->running;
         sum.tokens += work->tokens;
-        for (std::size_t band = 0; band < UrgencyBands; ++band) {
+        for (std::size_t band = 0; band < UrgencyBandCount; ++band) {
             sum.pendingPrefill.at(band) += toMillis(work->pendingPrefill.at(band));
         }
         age += toMillis(now - report.at);
--- a/src/core/peerloads.h
+++ b/src/core/peerloads.h
@@ -28,7 +28,7 @@
 struct TargetWork {
     TargetId target;
     int running = 0; ///< sends that haven't ended
-    std::array<Duration, UrgencyBands> pendingPrefill; ///< by band, as the gateway estimates it
+    std::array<Duration, UrgencyBandCount> pendingPrefill; ///< by band, as the gateway estimates it
     std::int64_t tokens = 0; ///< KV memory that its running requests may take
     double failures = 0; ///< recent share, 0 (none) to 1 (all)
     bool isEjected = false; ///< requests get no answer from it
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -61,7 +61,7 @@
     double bytesPerSecond = 3e9; ///< of one load that is alone
     int roundsToConfirm = 2; ///< a surge copy must pay in this many rounds running
     double urgentFactor = 4.0; ///< or be worth this many times the move cost
-    Duration floorPatience = Duration::seconds(30); ///< a runner may be down this long before its floor copies move
+    Duration floorMoveDelay = Duration::seconds(30); ///< a runner may be down this long before its floor copies move
     int concurrencyIfUnknown = 32;
 };
 
--- a/src/core/placementmodel.cpp
+++ b/src/core/placementmodel.cpp
@@ -55,12 +55,12 @@
 
 auto PlacementModel::isOn(RunnerIndex runner, ArtifactIndex artifact) const -> bool
 {
-    return m_planned[cell(runner, artifact)];
+    return m_planned[matrixIndex(runner, artifact)];
 }
 
 auto PlacementModel::isResident(RunnerIndex runner, ArtifactIndex artifact) const -> bool
 {
-    return m_resident[cell(runner, artifact)];
+    return m_resident[matrixIndex(runner, artifact)];
 }
 
 auto PlacementModel::sizeOn(RunnerIndex runner, ArtifactIndex artifact) const -> Bytes
@@ -97,7 +97,7 @@
     if (isOn(runner, artifact)) {
         return;
     }
-    m_planned[cell(runner, artifact)] = true;
+    m_planned[matrixIndex(runner, artifact)] = true;
     m_runners[runner].used += m_artifacts[artifact].declared->size;
     m_runners[runner].surge.push_back(artifact);
     m_artifacts[artifact].copies.push_back({runner, 0});
@@ -111,7 +111,7 @@
         return;
     }
     auto &one = m_artifacts[artifact];
-    m_planned[cell(runner, artifact)] = false;
+    m_planned[matrixIndex(runner, artifact)] = false;
     m_runners[runner].used -= one.declared->size;
     std::erase(m_runners[runner].surge, artifact);
     std::erase_if(one.copies, [&](const CopyLoad &copy) {
@@ -169,7 +169,7 @@
             if (artifact == NoIndex || isOn(runner, artifact)) {
                 continue;
             }
-            m_planned[cell(runner, artifact)] = true;
+            m_planned[matrixIndex(runner, artifact)] = true;
             m_runners[runner].used += m_artifacts[artifact].declared->size;
             m_artifacts[artifact].copies.push_back({runner, 0});
             m_artifacts[artifact].isLive = true;
@@ -192,7 +192,7 @@
             }
             m_artifacts[artifact].isLive = true;
             if (!resident.isLoading) {
-                m_resident[cell(runner, artifact)] = true;
+                m_resident[matrixIndex(runner, artifact)] = true;
             }
         }
     }
@@ -216,7 +216,7 @@
     }
 }
 
-auto PlacementModel::cell(RunnerIndex runner, ArtifactIndex artifact) const -> std::size_t
+auto PlacementModel::matrixIndex(RunnerIndex runner, ArtifactIndex artifact) const -> std::size_t
 {
     return runner * m_artifacts.size() + artifact;
 }
--- a/src/core/placementmodel.h
+++ b/src/core/placementmodel.h
@@ -79,7 +79,7 @@
     auto collectCopies(const Plan &plan, bool isSurge) -> void;
     auto collectResidents() -> void;
     auto spread(ArtifactIndex artifact) -> void;
-    auto cell(RunnerIndex runner, ArtifactIndex artifact) const -> std::size_t;
+    auto matrixIndex(RunnerIndex runner, ArtifactIndex artifact) const -> std::size_t;
 
     const PlacementInput &m_input;
     const PlacementOptions &m_options;
--- a/src/core/prefillqueue.h
+++ b/src/core/prefillqueue.h
@@ -16,7 +16,7 @@
 {
 
 /// Milliseconds of prefill, by band.
-using BandMillis = std::array<double, UrgencyBands>;
+using BandMillis = std::array<double, UrgencyBandCount>;
 
 /// Sum of `band` and all more urgent bands.
 auto pendingUpTo(const BandMillis &pending, UrgencyBand band) -> double;
@@ -38,7 +38,7 @@
 private:
     struct PendingPrompt {
         SendId send;
-        UrgencyBand band = UrgencyBand::Usual;
+        UrgencyBand band = UrgencyBand::Normal;
         double millis = 0;
         std::optional<TimePoint> since; ///< start of its prefill; nullopt: still waiting
 
--- a/src/core/residency.cpp
+++ b/src/core/residency.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-class Planner
+class ResidencyPlanner
 {
 public:
-    Planner(const MemoryLedger &ledger, const ResidencyInput &input)
+    ResidencyPlanner(const MemoryLedger &ledger, const ResidencyInput &input)
         : m_ledger(ledger)
         , m_input(input)
     {
@@ -23,9 +23,9 @@
     auto retire() const -> std::optional<ResidencyOrder>;
     auto load(const WantedArtifact &want) const -> std::optional<ResidencyOrder>;
     auto freeMemory(const WantedArtifact &want) const -> std::optional<ResidencyOrder>;
-    auto isSettled(const WantedArtifact &want) const -> bool;
+    auto isSatisfied(const WantedArtifact &want) const -> bool;
     auto mayEvict(const ArtifactName &name) const -> bool;
-    auto hasDependant(const ArtifactName &base) const -> bool;
+    auto hasAdapters(const ArtifactName &base) const -> bool;
     auto rank(const ArtifactName &name) const -> std::size_t;
     auto evict(const ArtifactName &name, std::string reason) const -> ResidencyOrder;
 
@@ -33,13 +33,13 @@
     const ResidencyInput &m_input;
 };
 
-auto Planner::next() const -> std::optional<ResidencyOrder>
+auto ResidencyPlanner::next() const -> std::optional<ResidencyOrder>
 {
     if (auto order = retire()) {
         return order;
     }
-    for (const auto &want : m_input.wants) {
-        if (isSettled(want)) {
+    for (const auto &want : m_input.wanted) {
+        if (isSatisfied(want)) {
             continue;
         }
         const bool baseMissing = !want.base.isEmpty() && !m_ledger.isUsable(want.base);
@@ -58,7 +58,7 @@
     return std::nullopt;
 }
 
-auto Planner::retire() const -> std::optional<ResidencyOrder>
+auto ResidencyPlanner::retire() const -> std::optional<ResidencyOrder>
 {
     for (const auto &name : m_input.retired) {
         if (m_ledger.mayUnload(name) == LedgerRefusal::None && mayEvict(name)) {
@@ -68,7 +68,7 @@
     return std::nullopt;
 }
 
-auto Planner::load(const WantedArtifact &want) const -> std::optional<ResidencyOrder>
+auto ResidencyPlanner::load(const WantedArtifact &want) const -> std::optional<ResidencyOrder>
 {
     if (m_ledger.mayLoad(want.name, want.bytes) != LedgerRefusal::None) {
         return std::nullopt;
@@ -78,15 +78,15 @@
 
 // Evicts one artifact: unwanted ones before surge copies, the least urgent first. A surge want evicts only what nobody wants, or two
 // wants of the same urgency would take turns.
-auto Planner::freeMemory(const WantedArtifact &want) const -> std::optional<ResidencyOrder>
+auto ResidencyPlanner::freeMemory(const WantedArtifact &want) const -> std::optional<ResidencyOrder>
 {
     if (want.bytes <= m_ledger.freeBytes() + m_ledger.releasing()) {
         return std::nullopt; // enough is being unloaded already
     }
     std::optional<EngineArtifact> victim;
     for (const auto &entry : m_ledger.residents()) {
-        const bool unwanted = rank(entry.artifact) >= m_input.wants.size();
-        const bool allowed = unwanted || (want.floor && !m_input.wants[rank(entry.artifact)].floor);
+        const bool unwanted = rank(entry.artifact) >= m_input.wanted.size();
+        const bool allowed = unwanted || (want.floor && !m_input.wanted[rank(entry.artifact)].floor);
         if (!allowed || !mayEvict(entry.artifact) || m_ledger.mayUnload(entry.artifact) != LedgerRefusal::None) {
             continue;
         }
@@ -100,18 +100,18 @@
     return evict(victim->artifact, "evicted-for=" + want.name.text());
 }
 
-auto Planner::isSettled(const WantedArtifact &want) const -> bool
+auto ResidencyPlanner::isSatisfied(const WantedArtifact &want) const -> bool
 {
     return m_ledger.isUsable(want.name) || m_ledger.isLoading(want.name);
 }
 
-auto Planner::mayEvict(const ArtifactName &name) const -> bool
+auto ResidencyPlanner::mayEvict(const ArtifactName &name) const -> bool
 {
     const bool held = (m_input.isPinned && m_input.isPinned(name)) || (m_input.isInUse && m_input.isInUse(name));
-    return !held && !hasDependant(name);
+    return !held && !hasAdapters(name);
 }
 
-auto Planner::hasDependant(const ArtifactName &base) const -> bool
+auto ResidencyPlanner::hasAdapters(const ArtifactName &base) const -> bool
 {
     if (!m_input.baseOf) {
         return false;
@@ -119,18 +119,18 @@
     const auto residents = m_ledger.residents();
     const bool resident = std::any_of(residents.begin(), residents.end(), [&](const auto &entry) { return m_input.baseOf(entry.artifact) == base; });
     const bool loading
-        = std::any_of(m_input.wants.begin(), m_input.wants.end(), [&](const auto &want) { return want.base == base && m_ledger.isLoading(want.name); });
+        = std::any_of(m_input.wanted.begin(), m_input.wanted.end(), [&](const auto &want) { return want.base == base && m_ledger.isLoading(want.name); });
     return resident || loading;
 }
 
-auto Planner::rank(const ArtifactName &name) const -> std::size_t
+auto ResidencyPlanner::rank(const ArtifactName &name) const -> std::size_t
 {
-    const auto &wants = m_input.wants;
-    const auto found = std::find_if(wants.begin(), wants.end(), [&](const WantedArtifact &want) { return want.name == name; });
-    return static_cast<std::size_t>(found - wants.begin());
+    const auto &wanted = m_input.wanted;
+    const auto found = std::find_if(wanted.begin(), wanted.end(), [&](const WantedArtifact &want) { return want.name == name; });
+    return static_cast<std::size_t>(found - wanted.begin());
 }
 
-auto Planner::evict(const ArtifactName &name, std::string reason) const -> ResidencyOrder
+auto ResidencyPlanner::evict(const ArtifactName &name, std::string reason) const -> ResidencyOrder
 {
     return ResidencyOrder {OrderKind::Unload, name, {}, {}, std::move(reason)};
 }
@@ -139,7 +139,7 @@
 
 auto nextResidencyOrder(const MemoryLedger &ledger, const ResidencyInput &input) -> std::optional<ResidencyOrder>
 {
-    return Planner(ledger, input).next();
+    return ResidencyPlanner(ledger, input).next();
 }
 
 } // namespace KingCup
--- a/src/core/residency.h
+++ b/src/core/residency.h
@@ -22,7 +22,7 @@
 };
 
 struct ResidencyInput {
-    std::vector<WantedArtifact> wants; ///< most urgent first
+    std::vector<WantedArtifact> wanted; ///< most urgent first
     std::vector<ArtifactName> retired; ///< no longer declared: unloaded as soon as nothing uses them
     std::function<bool(const ArtifactName &)> isPinned; ///< must not be unloaded, wanted or not
     std::function<bool(const ArtifactName &)> isInUse; ///< requests in flight
--- a/src/core/runnerbook.cpp
+++ b/src/core/runnerbook.cpp
@@ -9,14 +9,14 @@
 {
 
 /// After a report that didn't help, until the next one is asked for.
-constexpr auto ReportPause = Duration::millis(150);
+constexpr auto ReportRetryDelay = Duration::millis(150);
 /// Between two orders to a runner that is still unloading, and how often that is tried before its report is asked for.
-constexpr auto BusyPause = Duration::millis(80);
-constexpr int MostTriesWhileBusy = 6;
+constexpr auto BusyRetryDelay = Duration::millis(80);
+constexpr int MaxBusyRetries = 6;
 /// An unload that takes longer than this is not what keeps the runner from other orders: its count of them is another than is known here.
-constexpr auto LongestUnload = Duration::seconds(1);
+constexpr auto MaxUnloadTime = Duration::seconds(1);
 /// How old what a report says may be: runners of the sizes in use say 200 ms.
-constexpr auto ReportAge = Duration::millis(400);
+constexpr auto MaxReportAge = Duration::millis(400);
 
 auto contains(const std::vector<std::string> &list, std::string_view text) -> bool
 {
@@ -53,9 +53,9 @@
     return m_isKnown;
 }
 
-auto RunnerBook::isAsked() const -> bool
+auto RunnerBook::isCallPending() const -> bool
 {
-    return m_isAsked || m_sent;
+    return m_isReportPending || m_unacknowledged;
 }
 
 auto RunnerBook::ordersTaken() const -> std::uint64_t
@@ -79,8 +79,8 @@
         used += declared == nullptr ? largest : declared->weights;
         used += declared == nullptr ? Bytes() : Bytes(declared->adapterWeights.count() * static_cast<std::int64_t>(held.adapters.size()));
     }
-    for (const auto &under : m_adapters) {
-        const auto *declared = engine.model(under.order.model);
+    for (const auto &pending : m_adapterLoads) {
+        const auto *declared = engine.model(pending.order.model);
         used += declared == nullptr ? Bytes() : declared->adapterWeights;
     }
     if (m_modelOrder && isBusy(now)) {
@@ -88,7 +88,7 @@
         const auto *declared = engine.model(m_modelOrder->order.model);
         used += declared == nullptr ? largest : declared->weights;
     }
-    for (const auto &late : m_late) {
+    for (const auto &late : m_unansweredLoads) {
         const auto *declared = engine.model(late.order.model);
         if (isCharged(late, now) && declared != nullptr) {
             used += late.order.adapter.empty() ? declared->weights : declared->adapterWeights;
@@ -99,9 +99,9 @@
 
 auto RunnerBook::freeAdapterSlots(const EngineDeclaration &engine, TimePoint now) const -> int
 {
-    auto used = m_adapters.size();
-    used += static_cast<std::size_t>(
-        std::count_if(m_late.begin(), m_late.end(), [&](const Late &late) { return !late.order.adapter.empty() && isCharged(late, now); }));
+    auto used = m_adapterLoads.size();
+    used += static_cast<std::size_t>(std::count_if(
+        m_unansweredLoads.begin(), m_unansweredLoads.end(), [&](const UnansweredLoad &late) { return !late.order.adapter.empty() && isCharged(late, now); }));
     for (const auto &held : m_description.models) {
         used += held.adapters.size();
     }
@@ -116,7 +116,7 @@
 auto RunnerBook::isBusy(TimePoint now) const -> bool
 {
     // While it unloads, it refuses other orders by itself: asking for its report would take longer than trying.
-    return m_modelOrder && (m_modelOrder->order.isLoad || m_isBusyForSure || now < m_modelOrder->doneAt);
+    return m_modelOrder && (m_modelOrder->order.isLoad || m_isBusyReported || now < m_modelOrder->doneAt);
 }
 
 auto RunnerBook::loading() const -> std::optional<std::string>
@@ -132,7 +132,7 @@
     return contains(m_description.weightsOnDisk, model) ? WeightSource::Disk : WeightSource::Store;
 }
 
-auto RunnerBook::isCharged(const Late &late, TimePoint now) const -> bool
+auto RunnerBook::isCharged(const UnansweredLoad &late, TimePoint now) const -> bool
 {
     return now < late.until && late.expected > m_ordersTaken;
 }
@@ -140,14 +140,15 @@
 auto RunnerBook::holdsAdapter(std::string_view model, std::string_view adapter) const -> bool
 {
     const auto *held = m_description.model(model);
-    const auto isUnderWay
-        = std::any_of(m_adapters.begin(), m_adapters.end(), [&](const Under &under) { return under.order.model == model && under.order.adapter == adapter; });
+    const auto isUnderWay = std::any_of(m_adapterLoads.begin(), m_adapterLoads.end(), [&](const PendingOrder &pending) {
+        return pending.order.model == model && pending.order.adapter == adapter;
+    });
     return isUnderWay || (held != nullptr && held->hasAdapter(adapter));
 }
 
 auto RunnerBook::mayOrder(const RunnerOrder &order, const EngineDeclaration &engine, TimePoint now) const -> bool
 {
-    if (!m_isKnown || isAsked() || m_description.isLeaving || isBusy(now)) {
+    if (!m_isKnown || isCallPending() || m_description.isLeaving || isBusy(now)) {
         return false;
     }
     const auto *held = m_description.model(order.model);
@@ -162,12 +163,13 @@
         return held != nullptr && held->hasAdapter(order.adapter);
     }
     const bool hasCapacity = freeAdapterSlots(engine, now) > 0 && freeMemory(engine, now) >= declared->adapterWeights;
-    return held != nullptr && !holdsAdapter(order.model, order.adapter) && hasCapacity && static_cast<int>(m_adapters.size()) < m_options.adaptersUnderWay;
+    return held != nullptr && !holdsAdapter(order.model, order.adapter) && hasCapacity
+        && static_cast<int>(m_adapterLoads.size()) < m_options.maxPendingAdapterLoads;
 }
 
 auto RunnerBook::needsReport(TimePoint now) const -> bool
 {
-    if (m_isAsked || m_sent || now < m_reportAt) {
+    if (m_isReportPending || m_unacknowledged || now < m_nextReportAt) {
         return false;
     }
     return !m_isKnown || (m_modelOrder && isBusy(now) && now >= m_modelOrder->doneAt);
@@ -176,24 +178,24 @@
 auto RunnerBook::advance(TimePoint now) -> bool
 {
     bool changed = false;
-    for (const auto &under : m_adapters) {
-        if (now >= under.doneAt) {
-            apply(under.order);
+    for (const auto &pending : m_adapterLoads) {
+        if (now >= pending.doneAt) {
+            apply(pending.order);
             changed = true;
         }
     }
-    std::erase_if(m_adapters, [&](const Under &under) { return now >= under.doneAt; });
+    std::erase_if(m_adapterLoads, [&](const PendingOrder &pending) { return now >= pending.doneAt; });
     return changed;
 }
 
-auto RunnerBook::seen(const TargetDescription &description, TimePoint now) -> void
+auto RunnerBook::descriptionReceived(const TargetDescription &description, TimePoint now) -> void
 {
     if (m_description.incarnation != description.incarnation) {
-        auto late = std::move(m_late);
+        auto late = std::move(m_unansweredLoads);
         *this = RunnerBook(m_options);
-        m_late = std::move(late);
+        m_unansweredLoads = std::move(late);
         m_description = description;
-        m_reportAt = now;
+        m_nextReportAt = now;
         return;
     }
     auto known = std::move(m_description.models);
@@ -211,21 +213,21 @@
     }
 }
 
-auto RunnerBook::reportAsked(TimePoint now) -> void
+auto RunnerBook::reportRequested(TimePoint now) -> void
 {
-    m_isAsked = true;
-    m_reportAskedAt = now;
+    m_isReportPending = true;
+    m_reportRequestedAt = now;
 }
 
 auto RunnerBook::reported(const RunnerReport &report, TimePoint now) -> void
 {
-    m_isAsked = false;
-    m_reportAt = now + ReportPause;
+    m_isReportPending = false;
+    m_nextReportAt = now + ReportRetryDelay;
     if (report.startedAtMillis && m_description.incarnation.startedAtMillis != 0 && *report.startedAtMillis != m_description.incarnation.startedAtMillis) {
         return; // another start than the row's: the row will follow
     }
     // What a report says is some hundred milliseconds old: fewer orders than are known of may only mean that.
-    const bool mayBeOld = m_isKnown || m_reportAskedAt - m_acceptedAt < ReportAge;
+    const bool mayBeOld = m_isKnown || m_reportRequestedAt - m_acceptedAt < MaxReportAge;
     if (report.ordersTaken < m_ordersTaken && mayBeOld) {
         return;
     }
@@ -235,21 +237,21 @@
         m_description.weightsInMemory = report.weightsInMemory;
         m_description.weightsOnDisk = report.weightsOnDisk;
     }
-    m_adapters.clear();
+    m_adapterLoads.clear();
     for (const auto &pending : report.adaptersLoading) {
         const auto slash = std::min(pending.find('/'), pending.size());
-        m_adapters.push_back({{true, pending.substr(0, slash), pending.substr(std::min(slash + 1, pending.size()))}, {}, now + m_options.adapterTime});
+        m_adapterLoads.push_back({{true, pending.substr(0, slash), pending.substr(std::min(slash + 1, pending.size()))}, {}, now + m_options.adapterLoadTime});
     }
     m_isKnown = true;
-    m_isBusyForSure = report.isBusy;
+    m_isBusyReported = report.isBusy;
     if (!report.isBusy) {
         m_modelOrder.reset();
         return;
     }
     if (!m_modelOrder) {
-        m_modelOrder = Under {{false, "", ""}, {}, now}; // somebody else's
+        m_modelOrder = PendingOrder {{false, "", ""}, {}, now}; // somebody else's
     }
-    m_modelOrder->doneAt = std::max(m_modelOrder->doneAt, now + ReportPause);
+    m_modelOrder->doneAt = std::max(m_modelOrder->doneAt, now + ReportRetryDelay);
     if (!m_modelOrder->order.isLoad) {
         apply(m_modelOrder->order); // it still runs requests with the model, and takes no new ones
     }
@@ -257,44 +259,44 @@
 
 auto RunnerBook::reportFailed(TimePoint now) -> void
 {
-    m_isAsked = false;
-    m_reportAt = now + ReportPause * 2;
+    m_isReportPending = false;
+    m_nextReportAt = now + ReportRetryDelay * 2;
 }
 
 auto RunnerBook::ordered(const RunnerOrder &order, Duration expected, TimePoint now) -> void
 {
-    m_sent = Under {order, expected, now + expected};
+    m_unacknowledged = PendingOrder {order, expected, now + expected};
 }
 
 auto RunnerBook::accepted(bool isDone, TimePoint now) -> void
 {
-    if (!m_sent) {
+    if (!m_unacknowledged) {
         return;
     }
-    auto under = *m_sent;
-    m_sent.reset();
-    under.doneAt = now + under.expected;
+    auto pending = *m_unacknowledged;
+    m_unacknowledged.reset();
+    pending.doneAt = now + pending.expected;
     m_acceptedAt = now;
-    m_foundBusy = 0;
-    if (isDone || !under.order.isLoad) {
-        apply(under.order);
+    m_busyRefusals = 0;
+    if (isDone || !pending.order.isLoad) {
+        apply(pending.order);
     }
     if (isDone) {
         // Done at once is counted for adapters that gave way, not for what held already: that is only known from a report.
-        const bool isCounted = !under.order.isLoad && !under.order.adapter.empty();
+        const bool isCounted = !pending.order.isLoad && !pending.order.adapter.empty();
         m_ordersTaken += isCounted ? 1 : 0;
         m_isKnown = isCounted;
-        m_reportAt = now;
+        m_nextReportAt = now;
         return;
     }
     ++m_ordersTaken;
-    if (under.order.adapter.empty()) {
+    if (pending.order.adapter.empty()) {
         m_modelOrderedAt = now;
-        under.doneAt = under.order.isLoad ? under.doneAt : now + m_options.unloadTime;
-        m_modelOrder = under;
-        m_isBusyForSure = false;
-    } else if (under.order.isLoad) {
-        m_adapters.push_back(under);
+        pending.doneAt = pending.order.isLoad ? pending.doneAt : now + m_options.unloadTime;
+        m_modelOrder = pending;
+        m_isBusyReported = false;
+    } else if (pending.order.isLoad) {
+        m_adapterLoads.push_back(pending);
     }
 }
 
@@ -321,45 +323,45 @@
 
 auto RunnerBook::refused(TimePoint now) -> void
 {
-    m_sent.reset();
+    m_unacknowledged.reset();
     m_isKnown = false;
-    m_reportAt = now;
+    m_nextReportAt = now;
 }
 
-auto RunnerBook::foundBusy(TimePoint now) -> void
+auto RunnerBook::refusedAsBusy(TimePoint now) -> void
 {
-    const bool isModelLoad = m_sent && m_sent->order.isLoad && m_sent->order.adapter.empty();
-    const bool isUnloading = m_modelOrder && !m_modelOrder->order.isLoad && now - m_modelOrderedAt < LongestUnload;
-    if (!isModelLoad || !isUnloading || ++m_foundBusy > MostTriesWhileBusy) {
+    const bool isModelLoad = m_unacknowledged && m_unacknowledged->order.isLoad && m_unacknowledged->order.adapter.empty();
+    const bool isUnloading = m_modelOrder && !m_modelOrder->order.isLoad && now - m_modelOrderedAt < MaxUnloadTime;
+    if (!isModelLoad || !isUnloading || ++m_busyRefusals > MaxBusyRetries) {
         refused(now);
         return;
     }
-    m_sent.reset();
-    m_modelOrder->doneAt = now + BusyPause;
+    m_unacknowledged.reset();
+    m_modelOrder->doneAt = now + BusyRetryDelay;
 }
 
 auto RunnerBook::unanswered(TimePoint now) -> void
 {
-    std::erase_if(m_late, [&](const Late &late) { return now >= late.until; });
-    if (m_sent && m_sent->order.isLoad) {
-        m_late.push_back({m_sent->order, m_ordersTaken, now + m_options.latestOrder});
+    std::erase_if(m_unansweredLoads, [&](const UnansweredLoad &late) { return now >= late.until; });
+    if (m_unacknowledged && m_unacknowledged->order.isLoad) {
+        m_unansweredLoads.push_back({m_unacknowledged->order, m_ordersTaken, now + m_options.maxOrderDelay});
     }
     // The same number again is safe: either this order has taken effect and the next is refused, or the next one shuts it out.
-    m_sent.reset();
+    m_unacknowledged.reset();
 }
 
-auto RunnerBook::doubt(TimePoint now) -> void
+auto RunnerBook::invalidate(TimePoint now) -> void
 {
     if (m_isKnown) {
         m_isKnown = false;
-        m_reportAt = std::max(m_reportAt, now);
+        m_nextReportAt = std::max(m_nextReportAt, now);
     }
 }
 
 auto RunnerBook::takenOver(TimePoint now) -> void
 {
     m_isKnown = false;
-    m_reportAt = now;
+    m_nextReportAt = now;
 }
 
 } // namespace KingCup
--- a/src/core/runnerbook.h
+++ b/src/core/runnerbook.h
@@ -39,9 +39,9 @@
 auto toString(WeightSource source) -> const char *;
 
 struct RunnerBookOptions {
-    Duration latestOrder = Duration::seconds(13); ///< an order without an answer takes effect within this, or never
-    Duration adapterTime = Duration::millis(12); ///< an adapter is usable this long after its load was accepted
-    int adaptersUnderWay = 4; ///< at most, to one runner
+    Duration maxOrderDelay = Duration::seconds(13); ///< an order without an answer takes effect within this, or never
+    Duration adapterLoadTime = Duration::millis(12); ///< an adapter is usable this long after its load was accepted
+    int maxPendingAdapterLoads = 4; ///< at most, to one runner
     Duration unloadTime = Duration::millis(20); ///< an unload that no request holds up is done by then; the runner refuses what comes too soon
 };
 
@@ -55,7 +55,7 @@
     // Queries
     auto description() const -> const TargetDescription &; ///< models and adapters in it are those of this book
     auto isKnown() const -> bool; ///< what it holds and the number of its orders; else ask for its report
-    auto isAsked() const -> bool; ///< an order or a report is under way
+    auto isCallPending() const -> bool; ///< an order or a report is under way
     auto ordersTaken() const -> std::uint64_t; ///< for the next order
     auto freeMemory(const EngineDeclaration &engine, TimePoint now) const -> Bytes;
     auto freeAdapterSlots(const EngineDeclaration &engine, TimePoint now) const -> int;
@@ -71,8 +71,8 @@
     /// Adapters whose load should be done count as held. True if that changed anything.
     auto advance(TimePoint now) -> bool;
     /// From its row. A new start resets everything.
-    auto seen(const TargetDescription &description, TimePoint now) -> void;
-    auto reportAsked(TimePoint now) -> void;
+    auto descriptionReceived(const TargetDescription &description, TimePoint now) -> void;
+    auto reportRequested(TimePoint now) -> void;
     auto reported(const RunnerReport &report, TimePoint now) -> void;
     auto reportFailed(TimePoint now) -> void;
     /// `expected`: how long it takes.
@@ -82,44 +82,44 @@
     /// Certainly without effect: the runner carries out another order, or counts its orders otherwise. For a model that follows on an unload of ours from a
     /// moment ago the first is the reason, and asking for a report, which is some hundred milliseconds old, would take longer than trying again. For an adapter
     /// it isn't: what is thought to be free there may be wrong, and the next load would be one too many.
-    auto foundBusy(TimePoint now) -> void;
+    auto refusedAsBusy(TimePoint now) -> void;
     auto unanswered(TimePoint now) -> void;
     /// A request met something else there than this book says: asked for its report.
-    auto doubt(TimePoint now) -> void;
+    auto invalidate(TimePoint now) -> void;
     /// Who gives orders is new: another gateway's last ones may still be on their way.
     auto takenOver(TimePoint now) -> void;
 
 private:
-    struct Under {
+    struct PendingOrder {
         RunnerOrder order;
         Duration expected;
         TimePoint doneAt; ///< probably; known once accepted
     };
     /// A load without an answer, and the number that it meets its moment at.
-    struct Late {
+    struct UnansweredLoad {
         RunnerOrder order;
         std::uint64_t expected = 0;
         TimePoint until;
     };
-    auto isCharged(const Late &late, TimePoint now) const -> bool;
+    auto isCharged(const UnansweredLoad &late, TimePoint now) const -> bool;
     auto apply(const RunnerOrder &order) -> void;
     auto model(std::string_view name) -> ResidentModel *;
 
     RunnerBookOptions m_options;
     TargetDescription m_description;
     bool m_isKnown = false;
-    bool m_isAsked = false;
+    bool m_isReportPending = false;
     std::uint64_t m_ordersTaken = 0; ///< as far as known
-    std::optional<Under> m_sent; ///< an order without an answer yet
-    std::optional<Under> m_modelOrder; ///< accepted, being carried out
-    std::vector<Under> m_adapters; ///< accepted loads that aren't usable yet
-    bool m_isBusyForSure = false; ///< the runner said so itself
-    int m_foundBusy = 0; ///< times in a row since the last accepted order
-    std::vector<Late> m_late;
+    std::optional<PendingOrder> m_unacknowledged; ///< an order without an answer yet
+    std::optional<PendingOrder> m_modelOrder; ///< accepted, being carried out
+    std::vector<PendingOrder> m_adapterLoads; ///< accepted loads that aren't usable yet
+    bool m_isBusyReported = false; ///< the runner said so itself
+    int m_busyRefusals = 0; ///< times in a row since the last accepted order
+    std::vector<UnansweredLoad> m_unansweredLoads;
     TimePoint m_acceptedAt; ///< the last order
     TimePoint m_modelOrderedAt; ///< the last one on a model
-    TimePoint m_reportAskedAt;
-    TimePoint m_reportAt; ///< not before
+    TimePoint m_reportRequestedAt;
+    TimePoint m_nextReportAt; ///< not before
 };
 
 } // namespace KingCup
--- a/src/core/surgeplanning.cpp
+++ b/src/core/surgeplanning.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr auto LoadLifetime = Duration::seconds(60); ///< a surge copy not resident after this no longer counts as a load under way
-constexpr double OnDemandFull = 1.0; ///< the baseline loads another copy where holders are this full
+constexpr double OnDemandFullLoad = 1.0; ///< the baseline loads another copy where holders are this full
 constexpr double Tenths = 10;
 
 auto rounded(double number) -> double
@@ -24,7 +24,7 @@
 }
 
 /// What the objective says about one more copy.
-struct Offer {
+struct CopyGain {
     RunnerIndex runner = NoIndex;
     double value = 0; ///< on-time deliveries over the horizon, less the moves
     double gain = 0; ///< the same without the moves
@@ -81,9 +81,9 @@
     PlacementOptions options;
     Plan surge;
     std::map<ArtifactName, int> roundsWanted; ///< for how many rounds running a further copy has paid
-    std::map<ArtifactName, TimePoint> lastAsked; ///< when each artifact was last asked for
+    std::map<ArtifactName, TimePoint> lastRequestAt; ///< when each artifact was last asked for
     std::map<CopyName, TimePoint> requestedAt;
-    double tokens = 0; ///< loads that the weight store would take now
+    double loadTokens = 0; ///< loads that the weight store would take now
     TimePoint lastRound;
     bool isStarted = false;
 };
@@ -93,7 +93,7 @@
 
 /// A surge copy that became part of the floor, or lost its declaration or its runner, is no surge copy any more. A runner that is down for a moment loses
 /// its surge copies with its memory, so they are requested anew by their worth.
-auto prune(SurgePlanner::Private &lasting, const PlacementInput &input) -> void
+auto prune(SurgePlanner::Private &state, const PlacementInput &input) -> void
 {
     std::set<TargetId> usable;
     for (const auto &runner : input.runners) {
@@ -101,13 +101,13 @@
             usable.insert(runner.id);
         }
     }
-    const auto before = lasting.surge;
+    const auto before = state.surge;
     for (const auto &target : before.targets()) {
         for (const auto &artifact : before.artifactsOn(target)) {
-            const bool isOver = !usable.contains(target) || !input.declarations->artifacts.contains(artifact) || input.floor.contains(target, artifact);
-            if (isOver) {
-                lasting.surge.remove(target, artifact);
-                lasting.requestedAt.erase({target, artifact});
+            const bool isObsolete = !usable.contains(target) || !input.declarations->artifacts.contains(artifact) || input.floor.contains(target, artifact);
+            if (isObsolete) {
+                state.surge.remove(target, artifact);
+                state.requestedAt.erase({target, artifact});
             }
         }
     }
@@ -117,30 +117,30 @@
 class Round
 {
 public:
-    Round(SurgePlanner::Private &lasting, const PlacementInput &input, const Plan &wantedFloor, TimePoint now)
-        : m_lasting(lasting)
+    Round(SurgePlanner::Private &state, const PlacementInput &input, const Plan &wantedFloor, TimePoint now)
+        : m_state(state)
         , m_input(input)
         , m_policy(input.declarations->policy)
         , m_now(now)
-        , m_model(input, lasting.surge, lasting.options)
+        , m_model(input, state.surge, state.options)
     {
         refillTokens();
-        countLoadsUnderWay();
-        noteAsked();
-        if (lasting.options.strategy == PlacementStrategy::LoadOnDemand) {
+        countPendingLoads();
+        recordRequestTimes();
+        if (state.options.strategy == PlacementStrategy::LoadOnDemand) {
             loadOnDemand();
             return;
         }
         requestFloor(wantedFloor);
-        if (lasting.options.strategy == PlacementStrategy::Objective) {
-            standIn();
-            improve();
+        if (state.options.strategy == PlacementStrategy::Objective) {
+            addStandIns();
+            addWorthwhileCopies();
         }
     }
 
     auto result() -> SurgeResult
     {
-        m_result.surge = m_lasting.surge;
+        m_result.surge = m_state.surge;
         return std::move(m_result);
     }
 
@@ -158,35 +158,35 @@
     auto refillTokens() -> void
     {
         const auto most = std::max(1.0, m_policy.loadsPerSecond);
-        const double passed = m_lasting.isStarted ? (m_now - m_lasting.lastRound).inSeconds() : 1.0;
-        m_lasting.tokens = std::min(most, m_lasting.tokens + passed * m_policy.loadsPerSecond);
-        m_lasting.lastRound = m_now;
-        m_lasting.isStarted = true;
+        const double passed = m_state.isStarted ? (m_now - m_state.lastRound).inSeconds() : 1.0;
+        m_state.loadTokens = std::min(most, m_state.loadTokens + passed * m_policy.loadsPerSecond);
+        m_state.lastRound = m_now;
+        m_state.isStarted = true;
     }
 
-    auto countLoadsUnderWay() -> void
+    auto countPendingLoads() -> void
     {
-        for (const auto &[copy, at] : m_lasting.requestedAt) {
+        for (const auto &[copy, at] : m_state.requestedAt) {
             const auto runner = m_model.find(copy.target);
             const auto artifact = m_model.find(copy.artifact);
             const bool isResident = runner != NoIndex && artifact != NoIndex && m_model.isResident(runner, artifact);
-            m_underWay += !isResident && m_now - at < LoadLifetime ? 1 : 0;
+            m_pendingLoads += !isResident && m_now - at < LoadLifetime ? 1 : 0;
         }
     }
 
-    auto noteAsked() -> void
+    auto recordRequestTimes() -> void
     {
         for (const auto &artifact : m_model.artifacts()) {
             if (artifact.demand != nullptr && artifact.demand->perSecond > 0) {
-                m_lasting.lastAsked[artifact.declared->name] = m_now;
-                m_lasting.lastAsked[artifact.declared->base] = m_now;
+                m_state.lastRequestAt[artifact.declared->name] = m_now;
+                m_state.lastRequestAt[artifact.declared->base] = m_now;
             }
         }
     }
 
     auto mayLoad() const -> bool
     {
-        return m_lasting.tokens >= 1 && m_underWay < m_policy.parallelLoads;
+        return m_state.loadTokens >= 1 && m_pendingLoads < m_policy.parallelLoads;
     }
 
     auto request(RunnerIndex runner, ArtifactIndex artifact, const std::string &why) -> void
@@ -199,12 +199,12 @@
             request(runner, base, "base of " + nameOf(artifact).text());
         }
         if (!m_model.isResident(runner, artifact)) {
-            m_lasting.tokens -= 1;
-            ++m_underWay;
+            m_state.loadTokens -= 1;
+            ++m_pendingLoads;
         }
         m_model.add(runner, artifact);
-        m_lasting.surge.add(targetOf(runner), nameOf(artifact));
-        m_lasting.requestedAt[{targetOf(runner), nameOf(artifact)}] = m_now;
+        m_state.surge.add(targetOf(runner), nameOf(artifact));
+        m_state.requestedAt[{targetOf(runner), nameOf(artifact)}] = m_now;
         m_result.decisions.push_back({PlacementKind::Surge, nameOf(artifact), targetOf(runner), why});
     }
 
@@ -217,8 +217,8 @@
             }
         }
         m_model.drop(runner, artifact);
-        m_lasting.surge.remove(targetOf(runner), nameOf(artifact));
-        m_lasting.requestedAt.erase({targetOf(runner), nameOf(artifact)});
+        m_state.surge.remove(targetOf(runner), nameOf(artifact));
+        m_state.requestedAt.erase({targetOf(runner), nameOf(artifact)});
         m_result.decisions.push_back({PlacementKind::Drop, nameOf(artifact), targetOf(runner), why});
     }
 
@@ -241,7 +241,7 @@
     }
 
     /// An artifact whose floor copies are all gone for now is not reachable: another copy stands in, whatever its demand.
-    auto standIn() -> void
+    auto addStandIns() -> void
     {
         if (m_input.floor.isEmpty()) {
             return;
@@ -250,22 +250,22 @@
             if (m_model.artifacts()[artifact].isLive || !mayLoad()) {
                 continue;
             }
-            const auto runner = roomiest(artifact);
+            const auto runner = runnerWithMostMemory(artifact);
             if (runner != NoIndex && freeMemory(runner, m_model.sizeOn(runner, artifact))) {
                 request(runner, artifact, "stand-in: no live copy");
             }
         }
     }
 
-    auto roomiest(ArtifactIndex artifact) const -> RunnerIndex
+    auto runnerWithMostMemory(ArtifactIndex artifact) const -> RunnerIndex
     {
         RunnerIndex best = NoIndex;
         Bytes most;
         for (RunnerIndex runner = 0; runner < m_model.runners().size(); ++runner) {
             const auto &one = m_model.runners()[runner];
             const auto left = one.free() - m_model.sizeOn(runner, artifact) + evictableBytes(runner);
-            const bool isOurs = one.state->service == m_model.artifacts()[artifact].declared->service && !m_model.isOn(runner, artifact);
-            if (isOurs && left >= Bytes(0) && (best == NoIndex || left > most)) {
+            const bool isCandidate = one.state->service == m_model.artifacts()[artifact].declared->service && !m_model.isOn(runner, artifact);
+            if (isCandidate && left >= Bytes(0) && (best == NoIndex || left > most)) {
                 best = runner;
                 most = left;
             }
@@ -280,8 +280,8 @@
         const auto &surge = m_model.runners()[runner].surge;
         for (const auto artifact : surge) {
             const auto &one = m_model.artifacts()[artifact];
-            const auto at = m_lasting.requestedAt.find({targetOf(runner), nameOf(artifact)});
-            const bool isFresh = at != m_lasting.requestedAt.end() && m_now - at->second < m_policy.horizon;
+            const auto at = m_state.requestedAt.find({targetOf(runner), nameOf(artifact)});
+            const bool isFresh = at != m_state.requestedAt.end() && m_now - at->second < m_policy.horizon;
             const bool isNeeded = std::any_of(surge.begin(), surge.end(), [&](ArtifactIndex other) { return m_model.artifacts()[other].base == artifact; });
             const bool isOnlyOne = one.copies.size() < 2;
             if (!isFresh && !isNeeded && !isOnlyOne && m_model.lostPerSecond(artifact) <= 0) {
@@ -322,51 +322,51 @@
         return true;
     }
 
-    auto offer(ArtifactIndex artifact, RunnerIndex runner, double lost) const -> Offer
+    auto gainOn(ArtifactIndex artifact, RunnerIndex runner, double lost) const -> CopyGain
     {
         const auto &one = m_model.artifacts()[artifact];
         const auto &there = m_model.runners()[runner];
-        const double spare = there.capacity * m_lasting.options.fullShare - there.busy;
+        const double spare = there.capacity * m_state.options.fullShare - there.busy;
         const auto needed = m_model.sizeOn(runner, artifact);
         if (spare <= 0 || (there.free() < needed && there.free() + evictableBytes(runner) < needed)) {
             return {};
         }
         const double service = std::max(one.streams / std::max(one.demand->perSecond, 1e-9), 1e-6);
-        const double loadSeconds = static_cast<double>(needed.count()) / m_lasting.options.bytesPerSecond;
+        const double loadSeconds = static_cast<double>(needed.count()) / m_state.options.bytesPerSecond;
         const double seconds = std::max(0.0, m_policy.horizon.inSeconds() - loadSeconds);
         const double gain = std::min(lost, spare / service) * seconds;
         return {runner, gain - m_policy.moveCost * m_model.movesOn(runner, artifact), gain};
     }
 
-    auto bestOffer(ArtifactIndex artifact, double lost) const -> Offer
+    auto bestGain(ArtifactIndex artifact, double lost) const -> CopyGain
     {
-        Offer best;
+        CopyGain best;
         const auto &service = m_model.artifacts()[artifact].declared->service;
         for (RunnerIndex runner = 0; runner < m_model.runners().size(); ++runner) {
             if (m_model.isOn(runner, artifact) || m_model.runners()[runner].state->service != service) {
                 continue;
             }
-            const auto candidate = offer(artifact, runner, lost);
+            const auto candidate = gainOn(artifact, runner, lost);
             const bool isTie = candidate.value == best.value && best.runner != NoIndex && candidate.runner != NoIndex;
-            const bool isCalmer = isTie && m_model.runners()[runner].busy < m_model.runners()[best.runner].busy;
-            if (candidate.value > best.value || isCalmer) {
+            const bool isLessBusy = isTie && m_model.runners()[runner].busy < m_model.runners()[best.runner].busy;
+            if (candidate.value > best.value || isLessBusy) {
                 best = candidate;
             }
         }
         return best;
     }
 
-    auto reason(ArtifactIndex artifact, const Offer &taken, double lost) const -> std::string
+    auto reason(ArtifactIndex artifact, const CopyGain &best, double lost) const -> std::string
     {
-        const auto &there = m_model.runners()[taken.runner];
+        const auto &there = m_model.runners()[best.runner];
         std::ostringstream text;
-        text << "value=" << rounded(taken.value) << " gain=" << rounded(taken.gain) << " moves=" << m_model.movesOn(taken.runner, artifact)
+        text << "value=" << rounded(best.value) << " gain=" << rounded(best.gain) << " moves=" << m_model.movesOn(best.runner, artifact)
              << " demand=" << rounded(m_model.artifacts()[artifact].demand->perSecond) << "/s losing=" << rounded(lost) << "/s busy=" << rounded(there.busy)
              << "/" << there.capacity;
         return text.str();
     }
 
-    auto improve() -> void
+    auto addWorthwhileCopies() -> void
     {
         // Most urgent first: what loses most deliveries.
         std::vector<std::pair<double, ArtifactIndex>> losing;
@@ -379,31 +379,31 @@
         std::stable_sort(losing.begin(), losing.end(), [](const auto &left, const auto &right) { return left.first > right.first; });
         std::set<ArtifactName> stillWanted;
         for (const auto &[before, artifact] : losing) {
-            if (tryToImprove(artifact)) {
+            if (tryToAddCopy(artifact)) {
                 stillWanted.insert(nameOf(artifact));
             }
         }
-        std::erase_if(m_lasting.roundsWanted, [&](const auto &entry) { return !stillWanted.contains(entry.first); });
+        std::erase_if(m_state.roundsWanted, [&](const auto &entry) { return !stillWanted.contains(entry.first); });
     }
 
     /// Whether another copy would pay.
-    auto tryToImprove(ArtifactIndex artifact) -> bool
+    auto tryToAddCopy(ArtifactIndex artifact) -> bool
     {
         const double lost = m_model.lostPerSecond(artifact);
-        const auto taken = bestOffer(artifact, lost);
-        if (taken.runner == NoIndex || taken.value <= 0) {
+        const auto best = bestGain(artifact, lost);
+        if (best.runner == NoIndex || best.value <= 0) {
             return false;
         }
-        const int rounds = ++m_lasting.roundsWanted[nameOf(artifact)];
-        const bool isUrgent = taken.value >= m_lasting.options.urgentFactor * std::max(m_policy.moveCost, 1.0);
-        if (rounds < m_lasting.options.roundsToConfirm && !isUrgent) {
+        const int rounds = ++m_state.roundsWanted[nameOf(artifact)];
+        const bool isUrgent = best.value >= m_state.options.urgentFactor * std::max(m_policy.moveCost, 1.0);
+        if (rounds < m_state.options.roundsToConfirm && !isUrgent) {
             return true;
         }
-        const auto why = reason(artifact, taken, lost);
+        const auto why = reason(artifact, best, lost);
         if (!mayLoad()) {
-            m_result.decisions.push_back({PlacementKind::Wait, nameOf(artifact), targetOf(taken.runner), "weight store at its limit; " + why});
-        } else if (freeMemory(taken.runner, m_model.sizeOn(taken.runner, artifact))) {
-            request(taken.runner, artifact, why);
+            m_result.decisions.push_back({PlacementKind::Wait, nameOf(artifact), targetOf(best.runner), "weight store at its limit; " + why});
+        } else if (freeMemory(best.runner, m_model.sizeOn(best.runner, artifact))) {
+            request(best.runner, artifact, why);
         }
         return true;
     }
@@ -416,7 +416,7 @@
             const auto &one = m_model.artifacts()[artifact];
             const bool allFull = std::all_of(one.copies.begin(), one.copies.end(), [&](const CopyLoad &copy) {
                 const auto &runner = m_model.runners()[copy.runner];
-                return runner.busy >= runner.capacity * OnDemandFull;
+                return runner.busy >= runner.capacity * OnDemandFullLoad;
             });
             if (one.demand != nullptr && one.demand->perSecond > 0 && allFull) {
                 loadOnDemand(artifact);
@@ -439,7 +439,7 @@
         }
         const auto needed = m_model.sizeOn(least, artifact);
         while (m_model.runners()[least].free() < needed) {
-            const auto oldest = leastRecentlyAsked(least, m_model.artifacts()[artifact].base);
+            const auto oldest = leastRecentlyRequested(least, m_model.artifacts()[artifact].base);
             if (oldest == NoIndex) {
                 return;
             }
@@ -448,13 +448,13 @@
         request(least, artifact, "requested, and no copy has capacity");
     }
 
-    auto leastRecentlyAsked(RunnerIndex runner, ArtifactIndex except) const -> ArtifactIndex
+    auto leastRecentlyRequested(RunnerIndex runner, ArtifactIndex except) const -> ArtifactIndex
     {
         ArtifactIndex oldest = NoIndex;
         TimePoint since;
         for (const auto artifact : m_model.runners()[runner].surge) {
-            const auto asked = m_lasting.lastAsked.find(nameOf(artifact));
-            const auto at = asked == m_lasting.lastAsked.end() ? TimePoint() : asked->second;
+            const auto asked = m_state.lastRequestAt.find(nameOf(artifact));
+            const auto at = asked == m_state.lastRequestAt.end() ? TimePoint() : asked->second;
             if (artifact != except && (oldest == NoIndex || at < since)) {
                 oldest = artifact;
                 since = at;
@@ -463,13 +463,13 @@
         return oldest;
     }
 
-    SurgePlanner::Private &m_lasting;
+    SurgePlanner::Private &m_state;
     const PlacementInput &m_input;
     const Policy &m_policy;
     TimePoint m_now;
     PlacementModel m_model;
     SurgeResult m_result;
-    int m_underWay = 0;
+    int m_pendingLoads = 0;
 };
 
 } // namespace
--- a/src/core/traffic.cpp
+++ b/src/core/traffic.cpp
@@ -67,12 +67,12 @@
 namespace
 {
 
-constexpr double PatientGoal = 2; ///< times the shortest goal of the same priority
+constexpr double PatientGoalFactor = 2; ///< times the shortest goal of the same priority
 
 auto bandOf(int priority, Duration goal, Duration shortestGoal) -> UrgencyBand
 {
-    const int later = goal >= shortestGoal * PatientGoal ? 1 : 0;
-    return static_cast<UrgencyBand>(std::clamp(priority + later, 0, static_cast<int>(UrgencyBands) - 1));
+    const int later = goal >= shortestGoal * PatientGoalFactor ? 1 : 0;
+    return static_cast<UrgencyBand>(std::clamp(priority + later, 0, static_cast<int>(UrgencyBandCount) - 1));
 }
 
 } // namespace
--- a/src/core/traffic.h
+++ b/src/core/traffic.h
@@ -27,8 +27,8 @@
 // [SECTION] Routes
 
 /// How urgent a runner's engine is to take a request, against others of its service. Engines take the more urgent ones first.
-enum class UrgencyBand { Urgent = 0, Usual = 1, Patient = 2 };
-constexpr std::size_t UrgencyBands = 3;
+enum class UrgencyBand { Urgent = 0, Normal = 1, Patient = 2 };
+constexpr std::size_t UrgencyBandCount = 3;
 
 enum class RouteKind {
     Idempotent, ///< may run more than once
@@ -51,9 +51,9 @@
     Duration timeout; ///< from the request's first byte to its last answer at the latest
     Duration goal; ///< an answer (streams: the first event) within it is on time
     Duration pauseGoal; ///< streams: the longest pause between events that is still on time; 0: none declared
-    Duration callersLeave; ///< streams: callers give up when nothing has come for so long, also before the first event; 0: not known
+    Duration callerGiveUpTime; ///< streams: callers give up when nothing has come for so long, also before the first event; 0: not known
     int priority = 0; ///< 0 is the most urgent
-    UrgencyBand band = UrgencyBand::Usual; ///< from priority and goal; see assignBands()
+    UrgencyBand band = UrgencyBand::Normal; ///< from priority and goal; see assignBands()
     Duration shortestGoal; ///< of all routes to the same services; see assignBands()
     int attempts = 1; ///< targets that one try of a client may run on
     bool isResumable = false; ///< streams: may go on at another target after the last event
--- a/src/gateway/demandexchange.cpp
+++ b/src/gateway/demandexchange.cpp
@@ -20,7 +20,7 @@
 
 DemandExchange::DemandExchange(DemandExchangeParts parts)
     : m_parts(parts)
-    , m_demand({.bucket = DemandBucket, .rise = DemandRise, .fall = DemandFall})
+    , m_demand({.bucket = DemandBucket, .riseWeight = DemandRise, .fallWeight = DemandFall})
 {
 }
 
--- a/src/gateway/digests.cpp
+++ b/src/gateway/digests.cpp
@@ -38,13 +38,13 @@
 
 auto rowsOf(const Wire::GatewayDigest::Work &work) -> int
 {
-    constexpr int Bands = static_cast<int>(UrgencyBands);
+    constexpr int Bands = static_cast<int>(UrgencyBandCount);
     return std::min({work.target_size(), work.running_size(), work.unread_ms_size() / Bands, work.tokens_size(), work.failures_size(), work.ejected_size()});
 }
 
 auto workAt(const Wire::GatewayDigest::Work &work, int row, const TargetId &target) -> TargetWork
 {
-    constexpr int Bands = static_cast<int>(UrgencyBands);
+    constexpr int Bands = static_cast<int>(UrgencyBandCount);
     TargetWork one;
     one.target = target;
     one.running = static_cast<int>(work.running(row));
--- a/src/gateway/forwardedrequest.cpp
+++ b/src/gateway/forwardedrequest.cpp
@@ -152,7 +152,7 @@
     if (elapsed + choice.expectedFirst <= m_route.goal) {
         return true;
     }
-    const bool callerStays = m_route.callersLeave == Duration() || elapsed + choice.expectedIfPatient < m_route.callersLeave;
+    const bool callerStays = m_route.callerGiveUpTime == Duration() || elapsed + choice.expectedIfPatient < m_route.callerGiveUpTime;
     if (callerStays && choice.expectedIfPatient + StreamTime < m_deadline - now()) {
         m_isDemoted = true;
         m_request.band = UrgencyBand::Patient;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -229,7 +229,7 @@
     hooks.onMoves = [this](const std::map<TargetId, CopyMove> &moves) {
         copyUse->setMoves(moves);
     };
-    hooks.likelyStreams = [this](const CopyKey &copy) {
+    hooks.estimatedStreams = [this](const CopyKey &copy) {
         // Clients are spread over the gateways: the others have about as many as this one.
         return static_cast<double>(dispatcher.ownRunning(copy.first, copy.second)) * (peers->liveCount() + 1);
     };
--- a/src/gateway/ordertask.cpp
+++ b/src/gateway/ordertask.cpp
@@ -148,7 +148,7 @@
     auto servePending() -> void;
     auto holdersOf(const AdapterRequestKey &key) const -> int;
     auto serveAdapterRequest(const AdapterRequestKey &key, AdapterRequest &request) -> bool;
-    auto noteMissing(const ServiceName &service, const CopyPlanInput &made) -> void;
+    auto updateMissing(const ServiceName &service, const CopyPlanInput &made) -> void;
     auto addAdapters(const ServiceName &service, std::map<std::string, ModelWork> &work) const -> void;
     auto input(const ServiceName &service) -> const CopyPlanInput &;
     auto planInput(const ServiceName &service) -> const CopyPlanInput &;
@@ -253,7 +253,7 @@
         hooks.onHolder();
     } else {
         for (auto &[id, book] : books) {
-            book.doubt(now());
+            book.invalidate(now());
         }
         moves.clear();
         hooks.onMoves(moves);
@@ -274,7 +274,7 @@
 
 auto OrderTask::Private::askReport(RunnerBook &book) -> void
 {
-    book.reportAsked(now());
+    book.reportRequested(now());
     const auto incarnation = book.description().incarnation;
     calls.start(book.description().address, parts.protocol.reportCall, [this, incarnation](int status, const std::string &body) {
         auto *runner = find(incarnation);
@@ -347,17 +347,17 @@
 {
     input(service);
     auto &made = inputs.at(service);
-    noteMissing(service, made);
+    updateMissing(service, made);
     made.missingSince = asked.missingSince(service);
-    made.lastAsked = asked.lastAsked();
+    made.lastRequestAt = asked.lastRequestAt();
     made.isDemandKnown = asked.isKnown(now());
-    made.streams = hooks.streams();
-    made.likelyStreams = hooks.likelyStreams;
+    made.drainingStreams = hooks.streams();
+    made.estimatedStreams = hooks.estimatedStreams;
     return made;
 }
 
 /// Models that are asked for and neither held nor coming.
-auto OrderTask::Private::noteMissing(const ServiceName &service, const CopyPlanInput &made) -> void
+auto OrderTask::Private::updateMissing(const ServiceName &service, const CopyPlanInput &made) -> void
 {
     std::set<std::string> there;
     for (const auto *book : made.runners) {
@@ -372,7 +372,7 @@
             wanted.insert(model);
         }
     }
-    asked.noteMissing(service, wanted, there, now());
+    asked.updateMissing(service, wanted, there, now());
 }
 
 /// Adapters in use just now take their places for as long as their streams run: a model needs copies enough for them too.
@@ -541,7 +541,7 @@
     }
     // One order at a time for it: while an adapter is evicted on one runner, others would on the next ones.
     const auto ordered = books.find(request.orderedOn);
-    if (ordered != books.end() && ordered->second.isAsked() && now() - request.orderedAt < settings.answerTimeout) {
+    if (ordered != books.end() && ordered->second.isCallPending() && now() - request.orderedAt < settings.answerTimeout) {
         return false;
     }
     const auto spared = holders > 0 ? SparedForAnother : Duration();
@@ -559,7 +559,7 @@
 {
     const auto *declared = engines.at(service).model(planned.order.model);
     if (!planned.order.adapter.empty()) {
-        return RunnerBookOptions().adapterTime;
+        return RunnerBookOptions().adapterLoadTime;
     }
     if (declared == nullptr || !planned.order.isLoad) {
         return RunnerBookOptions().unloadTime;
@@ -639,7 +639,7 @@
         book->unanswered(now());
         break;
     case OrderVerdict::Busy:
-        book->foundBusy(now());
+        book->refusedAsBusy(now());
         break;
     case OrderVerdict::Fenced:
     case OrderVerdict::Elsewhere:
@@ -704,7 +704,7 @@
     auto [found, isNew] = d->books.try_emplace(target.incarnation.id);
     auto &book = found->second;
     d->newTargetAt = isNew ? d->now() : d->newTargetAt;
-    book.seen(target, d->now());
+    book.descriptionReceived(target, d->now());
     d->publishResidency(book);
 }
 
@@ -738,7 +738,7 @@
         const bool isHeld = held != nullptr && (adapter.empty() || held->hasAdapter(adapter));
         if (isHeld && !isDraining(d->moves, id, model) && book.description().service == service) {
             // Another gateway got a different report from the runner itself, or none yet.
-            book.doubt(d->now());
+            book.invalidate(d->now());
             d->publishResidency(book);
         }
     }
@@ -756,7 +756,7 @@
 
 auto OrderTask::modelAsked(const std::string &model) -> void
 {
-    d->asked.modelAsked(model, d->now());
+    d->asked.modelRequested(model, d->now());
 }
 
 auto OrderTask::adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void
--- a/src/gateway/ordertask.h
+++ b/src/gateway/ordertask.h
@@ -39,7 +39,7 @@
     std::function<bool(const TargetId &target)> isFailing; ///< requests don't get through to it
     std::function<void(const std::map<TargetId, CopyMove> &moves)> onMoves; ///< those under way have changed
     std::function<std::map<CopyKey, int>()> streams; ///< under way at draining replicas, as all gateways reported
-    std::function<double(const CopyKey &copy)> likelyStreams; ///< under way at any copy
+    std::function<double(const CopyKey &copy)> estimatedStreams; ///< under way at any copy
     /// What a runner holds has changed; known here before its row says so.
     std::function<void(const TargetDescription &target)> onResidency;
     /// This gateway may give orders from now on: others are to be notified at once, as they send their pending requests only then.
--- a/tests/unit_accounts.cpp
+++ b/tests/unit_accounts.cpp
@@ -123,7 +123,7 @@
     assignBands(traffic);
     CHECK(bandOf(traffic.routes.at(0), 0) == UrgencyBand::Urgent);
     CHECK(bandOf(traffic.routes.at(1), 0) == UrgencyBand::Urgent);
-    CHECK(bandOf(traffic.routes.at(2), 0) == UrgencyBand::Usual);
+    CHECK(bandOf(traffic.routes.at(2), 0) == UrgencyBand::Normal);
     CHECK(bandOf(traffic.routes.at(1), 5) == UrgencyBand::Patient);
 }
 
--- a/tests/unit_copies.cpp
+++ b/tests/unit_copies.cpp
@@ -29,16 +29,16 @@
     spread.add(0, 1);
     spread.add(1, 1);
     spread.add(1, 2);
-    spread.settle();
+    spread.rebalance();
     for (std::size_t runner = 0; runner < 3; ++runner) {
         REQUIRE(spread.load(runner) == Approx(1.6 / 3).margin(0.02));
     }
     REQUIRE(spread.share(0, 0) + spread.share(0, 1) == Approx(1.0));
     spread.remove(1, 2);
-    spread.settle();
+    spread.rebalance();
     REQUIRE(spread.load(2) == Approx(0).margin(1e-9));
     REQUIRE(spread.load(0) == Approx(0.8).margin(0.02));
-    REQUIRE(spread.level(0) == Approx(0.8).margin(0.02));
+    REQUIRE(spread.lowestLoad(0) == Approx(0.8).margin(0.02));
 }
 
 TEST_CASE("the loss rises ever more steeply until a runner is full, and then as steeply")
@@ -47,11 +47,11 @@
     double slope = 0;
     for (int step = 1; step < 80; ++step) {
         const double work = step * 0.05;
-        const double next = (curve.lost(work + 0.05) - curve.lost(work)) / 0.05;
+        const double next = (curve.lostWork(work + 0.05) - curve.lostWork(work)) / 0.05;
         REQUIRE(next >= slope - 1e-6);
         slope = next;
     }
-    REQUIRE(curve.lost(0) == Approx(0));
+    REQUIRE(curve.lostWork(0) == Approx(0));
     REQUIRE(slope > 1);
     REQUIRE(slope < 1.6);
 }
--- a/tests/unit_demandhistory.cpp
+++ b/tests/unit_demandhistory.cpp
@@ -19,28 +19,28 @@
     // A new lease holder that took "nothing counted yet" for "nothing asked" evicted the busiest models.
     DemandHistory history(Duration::seconds(3));
     CHECK_FALSE(history.isKnown(at(100)));
-    history.modelAsked("m1", at(100));
+    history.modelRequested("m1", at(100));
     CHECK_FALSE(history.isKnown(at(102.9)));
     CHECK(history.isKnown(at(103)));
     history.restart();
     CHECK_FALSE(history.isKnown(at(110)));
-    CHECK(history.lastAsked().empty());
+    CHECK(history.lastRequestAt().empty());
 }
 
 TEST_CASE("a model is missing from its first request without a replica until it is loaded or silent")
 {
     const ServiceName llm("llm");
     DemandHistory history(Duration::seconds(3));
-    history.noteMissing(llm, {"m1", "m2"}, {"m2"}, at(1));
-    history.noteMissing(llm, {"m1", "m2"}, {"m2"}, at(2));
+    history.updateMissing(llm, {"m1", "m2"}, {"m2"}, at(1));
+    history.updateMissing(llm, {"m1", "m2"}, {"m2"}, at(2));
     REQUIRE(history.missingSince(llm).size() == 1);
     CHECK(history.missingSince(llm).at("m1") == at(1));
-    history.noteMissing(llm, {"m2"}, {}, at(3)); // m1 is silent now, m2 lost its replica
+    history.updateMissing(llm, {"m2"}, {}, at(3)); // m1 is silent now, m2 lost its replica
     REQUIRE(history.missingSince(llm).size() == 1);
     CHECK(history.missingSince(llm).at("m2") == at(3));
-    history.noteMissing(llm, {"m1", "m2"}, {"m1", "m2"}, at(4));
+    history.updateMissing(llm, {"m1", "m2"}, {"m1", "m2"}, at(4));
     CHECK(history.missingSince(llm).empty());
-    history.noteMissing(llm, {"m1"}, {}, at(5));
-    history.noteMissing(ServiceName("other"), {}, {}, at(6)); // another service's models say nothing of this one's
+    history.updateMissing(llm, {"m1"}, {}, at(5));
+    history.updateMissing(ServiceName("other"), {}, {}, at(6)); // another service's models say nothing of this one's
     CHECK(history.missingSince(llm).size() == 1);
 }
--- a/tests/unit_dispatch.cpp
+++ b/tests/unit_dispatch.cpp
@@ -135,7 +135,7 @@
     // in prefill for a more urgent one: short urgent prompts sent to that runner got their first token up to two seconds late, while other replicas of
     // the model were idle.
     DispatchFixture fixture(2);
-    const auto big = longRequest(30000, UrgencyBand::Usual);
+    const auto big = longRequest(30000, UrgencyBand::Normal);
     const auto busy = fixture->choose(big, at(1)).target;
     const auto send = fixture->sent(big, busy, at(1));
 
@@ -157,7 +157,7 @@
     }
     SECTION("a long prompt that is still waiting goes behind urgent ones")
     {
-        const auto waiting = longRequest(30000, UrgencyBand::Usual);
+        const auto waiting = longRequest(30000, UrgencyBand::Normal);
         fixture->sent(waiting, busy, at(1));
         fixture->firstToken(send, at(1.9));
         const auto idle = fixture->choose(urgent, at(1.1)).target;
@@ -175,10 +175,10 @@
         const auto send = fixture->sent(longRequest(300, UrgencyBand::Urgent), TargetId("r0"), at(1));
         fixture->firstToken(send, at(1.024)); // as expected, so that the runner isn't taken for a slow one
     }
-    const auto behind = fixture->sent(longRequest(5000, UrgencyBand::Usual), TargetId("r1"), at(1));
+    const auto behind = fixture->sent(longRequest(5000, UrgencyBand::Normal), TargetId("r1"), at(1));
     REQUIRE(behind.value() > 0);
-    REQUIRE(fixture->choose(longRequest(25000, UrgencyBand::Usual), at(1.1)).target == TargetId("r1"));
-    REQUIRE(fixture->choose(longRequest(2000, UrgencyBand::Usual), at(1.1)).target == TargetId("r0"));
+    REQUIRE(fixture->choose(longRequest(25000, UrgencyBand::Normal), at(1.1)).target == TargetId("r1"));
+    REQUIRE(fixture->choose(longRequest(2000, UrgencyBand::Normal), at(1.1)).target == TargetId("r0"));
 }
 
 TEST_CASE("two gateways without any observations choose the same runner for the same prefix")
@@ -439,15 +439,15 @@
         return longRequest(10, band);
     };
     for (int i = 0; i < 16; ++i) {
-        const auto send = fixture->sent(small(UrgencyBand::Usual), TargetId("r0"), at(1));
+        const auto send = fixture->sent(small(UrgencyBand::Normal), TargetId("r0"), at(1));
         fixture->firstToken(send, at(1.01));
     }
-    const auto nextToFull = fixture->choose(small(UrgencyBand::Usual), at(1.1)).expectedFirst;
+    const auto nextToFull = fixture->choose(small(UrgencyBand::Normal), at(1.1)).expectedFirst;
     REQUIRE(nextToFull < Duration::millis(150));
     for (int i = 0; i < 20; ++i) {
         fixture->sent(small(UrgencyBand::Patient), TargetId("r0"), at(1.1));
     }
-    const auto urgent = fixture->choose(small(UrgencyBand::Usual), at(1.1));
+    const auto urgent = fixture->choose(small(UrgencyBand::Normal), at(1.1));
     REQUIRE(urgent.expectedFirst < Duration::millis(150));
     REQUIRE(urgent.expectedIfPatient > Duration::millis(400)); // behind the 20 requests
     REQUIRE(fixture->choose(small(UrgencyBand::Patient), at(1.1)).expectedFirst > Duration::millis(400));
@@ -459,7 +459,7 @@
     // two events of its streams stall all of them, while another runner has nothing to prefill.
     DispatchFixture fixture(2);
     const auto next = [] {
-        auto made = longRequest(400, UrgencyBand::Usual);
+        auto made = longRequest(400, UrgencyBand::Normal);
         made.pauseGoal = Duration::millis(150);
         return made;
     };
@@ -485,14 +485,14 @@
     double now = 1;
     for (int i = 0; i < 300; ++i) {
         const int tokens = i % 3 == 0 ? 100 : 1000;
-        const auto send = fixture->sent(longRequest(tokens, UrgencyBand::Usual), TargetId("r0"), at(now));
+        const auto send = fixture->sent(longRequest(tokens, UrgencyBand::Normal), TargetId("r0"), at(now));
         const double took = 0.008 + tokens / 40.0 / 1000;
         fixture->firstToken(send, at(now + took));
         fixture->ended(send, SendResult::Delivered, at(now + took + 0.2));
         now += 1;
     }
-    const auto shortOne = fixture->choose(longRequest(50, UrgencyBand::Usual), at(now)).expectedFirst;
-    const auto longOne = fixture->choose(longRequest(2000, UrgencyBand::Usual), at(now)).expectedFirst;
+    const auto shortOne = fixture->choose(longRequest(50, UrgencyBand::Normal), at(now)).expectedFirst;
+    const auto longOne = fixture->choose(longRequest(2000, UrgencyBand::Normal), at(now)).expectedFirst;
     REQUIRE(shortOne < Duration::millis(12));
     REQUIRE(longOne - shortOne > Duration::millis(40));
     REQUIRE(longOne - shortOne < Duration::millis(60));
--- a/tests/unit_ledger.cpp
+++ b/tests/unit_ledger.cpp
@@ -189,7 +189,7 @@
     const ArtifactName busy("busy@1");
     deliverStatus(ledger, at(17), status({{old, gigabytes(10), {}}, {surge, gigabytes(20), {}}, {busy, gigabytes(30), {}}}));
     ResidencyInput input;
-    input.wants = {{Sun, {}, gigabytes(36), true}, {surge, {}, gigabytes(20), false}};
+    input.wanted = {{Sun, {}, gigabytes(36), true}, {surge, {}, gigabytes(20), false}};
     input.isInUse = [&](const ArtifactName &name) {
         return name == busy;
     };
@@ -212,7 +212,7 @@
     auto ledger = openLedger();
     const ArtifactName adapter("sun-tx");
     ResidencyInput input;
-    input.wants = {{adapter, Sun, gigabytes(1), true}, {Sun, {}, gigabytes(30), true}};
+    input.wanted = {{adapter, Sun, gigabytes(1), true}, {Sun, {}, gigabytes(30), true}};
     input.baseOf = [&](const ArtifactName &name) {
         return name == adapter ? Sun : ArtifactName();
     };
@@ -220,7 +220,7 @@
     deliverStatus(ledger, at(17), status({{Sun, gigabytes(30), {}}}));
     REQUIRE(nextResidencyOrder(ledger, input)->artifact == adapter);
     deliverStatus(ledger, at(18), status({{Sun, gigabytes(30), {}}, {adapter, gigabytes(1), {}}}));
-    input.wants.clear();
+    input.wanted.clear();
     input.retired = {Sun, adapter};
     REQUIRE(nextResidencyOrder(ledger, input)->artifact == adapter);
 }
@@ -281,10 +281,10 @@
     for (int step = 0; step < 6000; ++step) {
         clock.runUntil(clock.now() + Duration::millis(50));
         if (step % 200 == 0) {
-            input.wants.clear();
+            input.wanted.clear();
             for (int i = 0; i < 3; ++i) {
                 const int which = percent(random) % 8;
-                input.wants.push_back({ArtifactName("m" + std::to_string(which)), {}, gigabytes(12 + which * 4), i == 0});
+                input.wanted.push_back({ArtifactName("m" + std::to_string(which)), {}, gigabytes(12 + which * 4), i == 0});
             }
         }
         if (percent(random) == 0 && percent(random) < 20) {
--- a/tests/unit_orders.cpp
+++ b/tests/unit_orders.cpp
@@ -438,8 +438,8 @@
 auto knownBook(const TargetDescription &target, std::uint64_t orders = 0, double now = 0) -> RunnerBook
 {
     RunnerBook book;
-    book.seen(target, at(now));
-    book.reportAsked(at(now));
+    book.descriptionReceived(target, at(now));
+    book.reportRequested(at(now));
     RunnerReport report;
     report.models = target.models;
     report.ordersTaken = orders;
@@ -458,7 +458,7 @@
 {
     const auto engine = declaredEngine(2);
     RunnerBook book;
-    book.seen(description("r1", {}), at(0));
+    book.descriptionReceived(description("r1", {}), at(0));
     REQUIRE(book.needsReport(at(0)));
     REQUIRE_FALSE(book.mayOrder(load("m1"), engine, at(0)));
     REQUIRE(knownBook(description("r1", {})).mayOrder(load("m1"), engine, at(0)));
@@ -474,7 +474,7 @@
         book.ordered(load("m1", "a" + std::to_string(i)), Duration::millis(12), at(i));
         book.accepted(false, at(i));
         book.advance(at(i + 0.5));
-        book.seen(description("r1", {{"m1", 0, {}}}), at(i + 0.6));
+        book.descriptionReceived(description("r1", {{"m1", 0, {}}}), at(i + 0.6));
     }
     REQUIRE(book.freeAdapterSlots(engine, at(5)) == 0);
     REQUIRE_FALSE(book.mayOrder(load("m1", "a5"), engine, at(5)));
@@ -493,8 +493,8 @@
     REQUIRE(book.freeMemory(engine, at(2)) == engine.memory);
 
     // It starts again and counts from 0: the late load may meet its number 5 there.
-    book.seen(description("r1", {}, 2), at(3));
-    book.reportAsked(at(3));
+    book.descriptionReceived(description("r1", {}, 2), at(3));
+    book.reportRequested(at(3));
     book.reported({}, at(3.1));
     REQUIRE(book.freeMemory(engine, at(3.1)) == engine.memory - Bytes::gigabytes(WeightsGb));
     REQUIRE(book.freeMemory(engine, at(16)) == engine.memory); // too late by now
@@ -506,7 +506,7 @@
     book.ordered({false, "m1", ""}, Duration(), at(1));
     book.accepted(false, at(1));
     REQUIRE(book.ordersTaken() == 4);
-    book.reportAsked(at(1.05));
+    book.reportRequested(at(1.05));
     RunnerReport old;
     old.models = {{"m1", 0, {}}};
     old.ordersTaken = 3;
@@ -716,12 +716,12 @@
 
     // Nothing is known yet, or streams run: no order, and no second move for the same want.
     REQUIRE(bench.wholePlan(100.1).orders.empty());
-    bench.input().streams[{TargetId("r2"), "m1"}] = 3;
+    bench.input().drainingStreams[{TargetId("r2"), "m1"}] = 3;
     REQUIRE(bench.wholePlan(100.2).orders.empty());
     REQUIRE(bench.wholePlan(100.2).begun.empty());
     REQUIRE(bench.wholePlan(100.2).aborted.empty());
     // The last stream has ended.
-    bench.input().streams[{TargetId("r2"), "m1"}] = 0;
+    bench.input().drainingStreams[{TargetId("r2"), "m1"}] = 0;
     const auto unload = bench.wholePlan(100.3).orders;
     REQUIRE(unload.size() == 1);
     REQUIRE(unload.front().order == RunnerOrder {false, "m1", ""});
@@ -735,7 +735,7 @@
     bench.input().moves[TargetId("r2")] = bench.wholePlan(100).begun.front().move;
     REQUIRE(bench.wholePlan(101).orders.empty());
     REQUIRE(bench.wholePlan(102).orders.size() == 1); // a gateway that says nothing is taken to have none
-    bench.input().streams[{TargetId("r2"), "m1"}] = 1;
+    bench.input().drainingStreams[{TargetId("r2"), "m1"}] = 1;
     REQUIRE(bench.wholePlan(104).orders.empty());
     REQUIRE(bench.wholePlan(106).orders.size() == 1);
 }
@@ -745,7 +745,7 @@
     PlanBench bench(declaredEngine(3));
     bench.add("r1", {{"m1", 0, {}}, {"m2", 0, {}}}).add("r2", {{"m1", 0, {}}, {"m3", 0, {}}}).work("m2", 1.2, 1.2);
     bench.input().moves[TargetId("r2")] = bench.wholePlan(100).begun.front().move;
-    bench.input().streams[{TargetId("r2"), "m1"}] = 3;
+    bench.input().drainingStreams[{TargetId("r2"), "m1"}] = 3;
     bench.work("m2", 0.9, 0.9);
     REQUIRE(bench.wholePlan(100.5).aborted.empty());
     bench.work("m2", 0.05, 0.05).work("m1", 2, 2);
@@ -774,7 +774,7 @@
     PlanBench bench(declaredEngine(3));
     bench.add("r1", {{"m1", 0, {}}, {"m2", 0, {}}}).add("r2", {{"m1", 0, {}}, {"m3", 0, {}}}).work("m2", 2, 2);
     bench.input().moves[TargetId("r2")] = bench.wholePlan(100).begun.front().move;
-    bench.input().streams[{TargetId("r2"), "m1"}] = 0;
+    bench.input().drainingStreams[{TargetId("r2"), "m1"}] = 0;
     bench.input().failing = {TargetId("r1")};
     for (const auto &planned : bench.wholePlan(101).orders) {
         REQUIRE(planned.order != RunnerOrder {false, "m1", ""});
@@ -801,7 +801,7 @@
     for (int i = 0; i < 4; ++i) {
         const double now = 1.05 + i * 0.1;
         book.ordered(load("m3"), Duration::seconds(1), at(now));
-        book.foundBusy(at(now));
+        book.refusedAsBusy(at(now));
         REQUIRE(book.isKnown());
         REQUIRE_FALSE(book.mayOrder(load("m3"), engine, at(now + 0.05)));
         REQUIRE(book.mayOrder(load("m3"), engine, at(now + 0.09)));
@@ -809,11 +809,11 @@
     // But not for ever: then something else is wrong with what is known of it.
     auto later = book;
     later.ordered(load("m3"), Duration::seconds(1), at(2.5));
-    later.foundBusy(at(2.5));
+    later.refusedAsBusy(at(2.5));
     REQUIRE_FALSE(later.isKnown());
     for (int i = 0; i < 4; ++i) {
         book.ordered(load("m3"), Duration::seconds(1), at(1.5 + i * 0.1));
-        book.foundBusy(at(1.5 + i * 0.1));
+        book.refusedAsBusy(at(1.5 + i * 0.1));
     }
     REQUIRE_FALSE(book.isKnown());
 }
@@ -829,7 +829,7 @@
     const RunnerOrder adapter {true, "m2", "a1"};
     REQUIRE(book.mayOrder(adapter, engine, at(1.05)));
     book.ordered(adapter, Duration(), at(1.05));
-    book.foundBusy(at(1.05));
+    book.refusedAsBusy(at(1.05));
     REQUIRE_FALSE(book.isKnown());
     REQUIRE(book.needsReport(at(1.1)));
 }
@@ -960,7 +960,7 @@
     std::map<std::string, std::set<std::string>> m_held;
     std::map<std::string, ModelWork> m_work;
     std::map<std::string, TimePoint> m_missingSince;
-    std::map<std::string, TimePoint> m_lastAsked;
+    std::map<std::string, TimePoint> m_lastRequestAt;
 };
 
 auto ScarceFleet::plan(double now, bool isDemandKnown) -> CopyPlan
@@ -983,18 +983,18 @@
     }
     for (int model = 1; model <= m_models; ++model) {
         const auto asked = m_work.find(name(model));
-        const bool isAsked = asked != m_work.end() && asked->second.now > 0;
-        if (isAsked) {
-            m_lastAsked[name(model)] = at(now);
+        const bool isRequested = asked != m_work.end() && asked->second.now > 0;
+        if (isRequested) {
+            m_lastRequestAt[name(model)] = at(now);
         }
-        if (isAsked && !isHeld(model)) {
+        if (isRequested && !isHeld(model)) {
             m_missingSince.try_emplace(name(model), at(now));
         } else {
             m_missingSince.erase(name(model));
         }
     }
     input.missingSince = m_missingSince;
-    input.lastAsked = m_lastAsked;
+    input.lastRequestAt = m_lastRequestAt;
     auto plan = planCopies(input, CopyPlanOptions(), 4, at(now));
     for (const auto &begun : plan.begun) {
         auto &held = m_held[begun.target.text()];
@@ -1109,7 +1109,7 @@
     for (int model = 101; model <= 160; ++model) {
         fleet.work(model, 2.5);
     }
-    const auto most = static_cast<std::size_t>(CopyPlanOptions().mostChanges);
+    const auto most = static_cast<std::size_t>(CopyPlanOptions().maxChangesPerRound);
     std::size_t changes = 0;
     for (int step = 0; step < 12; ++step) {
         const auto made = fleet.changes(100 + step * 0.1);
--- a/tests/unit_placement.cpp
+++ b/tests/unit_placement.cpp
@@ -173,10 +173,10 @@
     REQUIRE_FALSE(result.decisions.at(0).reason.empty());
 
     set.policy.moveCost = 100000;
-    SurgePlanner thrifty({});
-    thrifty.plan(input, input.floor, at(0));
-    thrifty.plan(input, input.floor, at(1));
-    REQUIRE(thrifty.plan(input, input.floor, at(2)).surge.isEmpty());
+    SurgePlanner expensiveMoves({});
+    expensiveMoves.plan(input, input.floor, at(0));
+    expensiveMoves.plan(input, input.floor, at(1));
+    REQUIRE(expensiveMoves.plan(input, input.floor, at(2)).surge.isEmpty());
 }
 
 TEST_CASE("an adapter's surge copy brings its base along")
