--- a/src/core/copyplan.cpp
+++ b/src/core/copyplan.cpp
@@ -1,8 +1,8 @@
 // Index of sections (search for [SECTION]):
-//   Round   the state of one round
-//   Moves   those under way
-//   Slots   for one more replica
-//   Plan    the public face
+//   Round        the state of one planning round
+//   Moves        continues moves in progress
+//   Placements   chooses runners for additional replicas
+//   Plan         public functions
 #include "core/copyplan.h"
 
 #include <algorithm>
@@ -18,36 +18,37 @@
 namespace
 {
 
-/// Models looked at closely for one more replica, and slots for each: the spread of work is worked out for every pair.
+/// Limits on the models that are examined for one more replica, and on the placements of each: the spread of work is computed for every pair.
 constexpr std::size_t MaxCandidateModels = 4;
 constexpr std::size_t MaxPlacementsPerModel = 4;
-/// Added to a runner's load for each step from memory to disk to the store: a tenth of its time is lost sooner than a slow load is made up for.
+/// Cost of a slower weight source in the ranking of placements, as a share of a runner's time for each step from memory to disk to the weight store: a slower
+/// load costs more than a tenth of a runner's time. Each evicted replica is ranked with the same cost.
 constexpr double SourceCost = 0.1;
 constexpr double NoGain = -std::numeric_limits<double>::infinity();
 
-/// A model in one round.
+/// A declared model in one round.
 struct PlannedModel {
     const ModelDeclaration *declared = nullptr;
     double work = 0; ///< runners that its requests keep busy
-    int usable = 0; ///< copies that serve now and don't drain
+    int usable = 0; ///< replicas that serve now and don't drain
     TimePoint lastRequestAt;
-    double missingSeconds = 0; ///< asked for without a copy
+    double missingSeconds = 0; ///< how long it has had requests but no replica
 };
 
-/// A runner in one round; only those that are up and answer.
+/// A runner in one round. Leaving and failing runners are left out.
 struct PlannedRunner {
     const RunnerBook *book = nullptr;
-    const CopyMove *move = nullptr; ///< under way; null: none
+    const CopyMove *move = nullptr; ///< its move in progress, or null
     std::vector<std::size_t> holds; ///< models that serve there now and don't drain
-    bool isReserved = false; ///< has an order of this round, or waits for one
+    bool isReserved = false; ///< gets no further order or move in this round
 };
 
-/// Where one more copy of a model could go.
+/// A possible placement of one more replica of a model.
 struct Placement {
     std::size_t runner = 0;
     WeightSource source = WeightSource::Store;
-    std::vector<std::size_t> evicted; ///< models evicted there
-    double rank = 0; ///< lower first
+    std::vector<std::size_t> evicted; ///< models to be evicted there
+    double rank = 0; ///< lower is better
 };
 
 class Round
@@ -104,9 +105,9 @@
     TimePoint m_now;
     std::vector<PlannedModel> m_models; ///< in the declaration's order
     std::vector<PlannedRunner> m_runners;
-    CopySpread m_spread; ///< over the copies that serve, are being loaded or are to come
-    std::size_t m_moves = 0; ///< under way
-    bool m_allFit = true; ///< each model can have a replica beside further copies of busy ones
+    CopySpread m_spread; ///< over the replicas that serve, are being loaded or are the incoming ones of moves
+    std::size_t m_moves = 0; ///< number of moves in progress
+    bool m_allFit = true; ///< memory suffices for a replica of each model and further replicas of busy ones
     CopyPlan m_plan;
 };
 
@@ -133,7 +134,7 @@
     m_allFit = modelSlots() >= options.modelSlotsToFitAll * static_cast<double>(m_models.size());
 }
 
-/// Models of the mean size that the runners hold at once.
+/// How many models of mean size the runners can hold.
 auto Round::modelSlots() const -> double
 {
     double weights = 0;
@@ -150,7 +151,7 @@
     const auto found = m_input.work.find(model.name);
     const auto none = ModelWork();
     const auto &asked = found == m_input.work.end() ? none : found->second;
-    // A runner whose adapter slots are all in use refuses as many as one whose time is.
+    // A runner with all adapter slots in use refuses requests just as a busy one does.
     const double slots = std::max(m_input.engine->adapterSlots, 1);
     return std::max({asked.now, asked.soon, asked.activeAdapters / slots * m_options.fullAdapterSlotsWork});
 }
@@ -171,7 +172,7 @@
     return runner.book->description().incarnation.id;
 }
 
-/// Copies on runners that leave or fail don't count: what is asked for is served elsewhere already.
+/// Replicas on leaving or failing runners don't count, as their requests are already sent elsewhere.
 auto Round::addRunner(const RunnerBook &book) -> void
 {
     const auto &about = book.description();
@@ -201,7 +202,7 @@
     m_runners.push_back(std::move(runner));
 }
 
-/// What is lost with a model that has no copy: all that is asked for, and that nobody can ask for it.
+/// Work that counts as lost while a model has no replica: that of its requests, and a fixed amount because the model isn't available to new requests.
 auto Round::lossWithoutCopy(std::size_t model) const -> double
 {
     const double waited = 1 + m_models[model].missingSeconds / m_options.missingGrowthTime.inSeconds();
@@ -271,7 +272,7 @@
     unloadDrained(runner);
 }
 
-/// Against using the draining replicas again.
+/// Compares the move with aborting it, which would use the draining replicas again.
 auto Round::isMoveWorthwhile(std::size_t runner, std::size_t incoming) const -> bool
 {
     const auto *book = m_runners[runner].book;
@@ -308,7 +309,7 @@
     --m_moves;
 }
 
-/// One at a time: a runner carries out one order after the other.
+/// Unloads one drained replica, as a runner executes one order at a time.
 auto Round::unloadDrained(PlannedRunner &runner) -> void
 {
     for (const auto &name : runner.move->evicted) {
@@ -331,9 +332,9 @@
     return reported->second == 0 || waited >= m_options.maxDrainTime;
 }
 
-// [SECTION] Slots
+// [SECTION] Placements
 
-/// The replica that saves the most comes first, as long as one is worth it.
+/// Adds the replica with the largest gain, and repeats this while there is a gain.
 auto Round::addCopies() -> void
 {
     for (int changes = 0; changes < m_options.maxChangesPerRound; ++changes) {
@@ -354,7 +355,7 @@
     }
 }
 
-/// Models without a copy, and those whose runners are full while others have time.
+/// Models without a replica, and those whose runners are more loaded than others, with the largest possible gain first.
 auto Round::candidates() const -> std::vector<std::size_t>
 {
     double least = std::numeric_limits<double>::infinity();
@@ -377,7 +378,8 @@
     return list;
 }
 
-/// Were as much of its work moved as makes two runners even.
+/// Optimistic estimate of the gain of one more replica: the lost work that is saved if work moves to the least loaded runner until that and the model's own
+/// least loaded runner are even, but at most half of the model's work.
 auto Round::potentialGain(std::size_t model, double least) const -> double
 {
     const auto &loss = m_options.loss;
@@ -399,7 +401,7 @@
     return list;
 }
 
-/// A runner with time before a busy one, free memory before an eviction, a quick load before a slow one.
+/// The placement on one runner, if possible. The rank prefers less loaded runners, free memory to evictions, and faster loads.
 auto Round::placementOn(std::size_t number, std::size_t model) const -> std::optional<Placement>
 {
     const auto &runner = m_runners[number];
@@ -420,7 +422,7 @@
     }
     const auto missing = m_models[model].declared->weights - runner.book->freeMemory(*m_input.engine, m_now);
     if (missing <= Bytes()) {
-        return std::nullopt; // enough free memory, but it takes no order now
+        return std::nullopt; // memory suffices, but the runner takes no order now
     }
     auto evicted = chooseEvictions(number, model, missing);
     if (!evicted) {
@@ -438,17 +440,17 @@
     return m_input.estimatedStreams ? m_input.estimatedStreams({idOf(m_runners[runner]), nameOf(model)}) : 0;
 }
 
-/// Whether another model's only copy may be evicted for this one: then the gain decides.
+/// Whether the last replica of another model may be evicted for this model. If so, the gain decides.
 auto Round::mayEvictLastReplica(std::size_t incoming) const -> bool
 {
     const bool isMissing = m_spread.copies(incoming) == 0;
     return m_input.isDemandKnown && m_models[incoming].work > 0 && (isMissing || !m_allFit);
 }
 
-/// The replicas that are missed least, as many as are needed; nothing if they don't free enough memory.
+/// The replicas whose eviction costs least, as many as are needed; nothing if they don't free enough memory.
 auto Round::chooseEvictions(std::size_t number, std::size_t incoming, Bytes missing) const -> std::optional<std::vector<std::size_t>>
 {
-    // Where not all fit, a model without requests waits for free memory: the next model evicted for it would come back the same way.
+    // If not all models fit, a model without requests waits for free memory: a model that was evicted for it would in turn evict another one.
     if (m_models[incoming].work <= 0 && (!m_input.isDemandKnown || !m_allFit)) {
         return std::nullopt;
     }
@@ -480,7 +482,7 @@
     if (missing > Bytes()) {
         return std::nullopt;
     }
-    // What turned out not to be needed stays, the most missed first.
+    // Replicas that needn't be evicted after all stay, those with the highest cost first.
     for (std::size_t i = evicted.size(); i > 0; --i) {
         const auto size = memoryHeld(runner, evicted[i - 1]);
         if (missing + size <= Bytes()) {
@@ -491,7 +493,7 @@
     return evicted;
 }
 
-/// With its adapters there.
+/// Weights of the model and of its adapters that are loaded there.
 auto Round::memoryHeld(const PlannedRunner &runner, std::size_t model) const -> Bytes
 {
     const auto *declared = m_models[model].declared;
@@ -500,7 +502,7 @@
     return declared->weights + Bytes(declared->adapterWeights.count() * adapters);
 }
 
-/// Work that is no longer late or lost, less what the change must bring at least.
+/// Lost work that the placement saves, minus the least amount that is worth a change.
 auto Round::gainOf(std::size_t model, const Placement &placement, double lostNow) const -> double
 {
     auto after = m_spread;
--- a/src/core/copyspread.cpp
+++ b/src/core/copyspread.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Rounds over all models. Two bring the loads within some hundredths of where they end.
+/// Passes over all models. After two the loads are within a few hundredths of their final values.
 constexpr int Sweeps = 3;
 constexpr double NegligibleWork = 1e-6;
 
@@ -21,7 +21,7 @@
         const double power = std::pow(some / halfLost, steepness);
         return some * power / (power + 1);
     };
-    // Where the work times its share that is lost grows fastest.
+    // The load at which the lost work grows fastest (inflection point of the sigmoid), and the slope there.
     const double power = (steepness + 1) / (steepness - 1);
     const double steepest = halfLost * std::pow(power, 1 / steepness);
     const double slope = power * (power + steepness + 1) / ((power + 1) * (power + 1));
@@ -116,7 +116,7 @@
     }
 }
 
-/// Fills the model's runners up to a common level, as water fills vessels, with the others' work as it is.
+/// Water-filling: raises the model's least loaded runners to a common load, with the other models' work unchanged.
 auto CopySpread::spread(std::size_t model) -> void
 {
     auto &copies = m_copies[model];
@@ -124,7 +124,7 @@
         m_loads[copy.runner] -= copy.work;
     }
     std::sort(copies.begin(), copies.end(), [&](const Copy &a, const Copy &b) { return m_loads[a.runner] < m_loads[b.runner]; });
-    double below = 0; // load of the runners that are reached
+    double below = 0; // sum of the loads of the runners that get work
     double level = 0;
     std::size_t reached = 0;
     while (reached < copies.size()) {
--- a/src/core/copyspread.h
+++ b/src/core/copyspread.h
@@ -1,11 +1,12 @@
-// How the work of models spreads over the runners that hold them, if each request goes to the emptiest runner with its model. Pure.
+// Estimates how the work of models spreads over the runners that hold them, assuming that each request goes to the least loaded runner with its model. Work
+// is measured in runners: 1 keeps one runner busy all the time. No I/O.
 //
-// Counted evenly over a model's copies, a runner that is busy with another model seems to carry its part, and one that is idle seems taken: the plan then
-// adds copies where nobody waits, and none where everybody does.
+// Dividing a model's work evenly among its replicas would be wrong: a runner that is busy with another model would seem to take an equal part, and an idle
+// one would seem loaded. The plan would then add replicas where no requests wait, and none where they do.
 //
 // Index of sections (search for [SECTION]):
-//   Loss         what is late or lost as runners fill up
-//   CopySpread   the state
+//   Loss         work that is late or lost, by the load of a runner
+//   CopySpread   work of the models by runner
 #pragma once
 
 #include <cstddef>
@@ -16,18 +17,18 @@
 
 // [SECTION] Loss
 
-/// The work of a runner that is late or lost, by the work that is asked of it. It goes on growing as steeply where hardly anything is on time any more:
-/// levelled off there, nothing would be gained by the first of several copies that a model needs.
+/// Work of a runner that is late or lost, as a function of the runner's load. Beyond its steepest point the curve goes on as a straight line: if it levelled
+/// off where hardly any request is on time, the first of several replicas that a model needs would seem to gain nothing.
 struct LossCurve {
-    double halfLost = 0.7; ///< where half of it is
-    double steepness = 2.5; ///< streams stall behind the prompts of others long before a runner is full
+    double halfLost = 0.7; ///< load at which half of the work is lost
+    double steepness = 2.5; ///< low, because streams stall behind the prompts of others long before a runner is full
 
     auto lostWork(double work) const -> double;
 };
 
 // [SECTION] CopySpread
 
-/// Models and runners by number.
+/// Models and runners are addressed by index.
 class CopySpread
 {
 public:
@@ -37,16 +38,16 @@
     auto work(std::size_t model) const -> double;
     auto copies(std::size_t model) const -> std::size_t;
     auto holds(std::size_t model, std::size_t runner) const -> bool;
-    auto load(std::size_t runner) const -> double; ///< work there; 1 fills its time
-    auto share(std::size_t model, std::size_t runner) const -> double; ///< of that, the model's
-    auto lowestLoad(std::size_t model) const -> double; ///< load of the emptiest runner with the model; 0 without a copy
-    auto lostWork(const LossCurve &curve) const -> double; ///< work that is late or lost on runners; what has no copy isn't counted
+    auto load(std::size_t runner) const -> double; ///< work on the runner; 1 keeps it busy all the time
+    auto share(std::size_t model, std::size_t runner) const -> double; ///< the model's part of load(runner)
+    auto lowestLoad(std::size_t model) const -> double; ///< load of the least loaded runner with the model; 0 without a replica
+    auto lostWork(const LossCurve &curve) const -> double; ///< work that is late or lost on all runners; models without a replica aren't counted
 
-    // Commands. After some of them call rebalance().
+    // Commands. Call rebalance() after a series of changes.
     auto setWork(std::size_t model, double work) -> void;
     auto add(std::size_t model, std::size_t runner) -> void;
     auto remove(std::size_t model, std::size_t runner) -> void;
-    auto rebalance() -> void; ///< spreads the work anew
+    auto rebalance() -> void; ///< spreads the work of all models again
 
 private:
     struct Copy {
@@ -58,7 +59,7 @@
     std::vector<double> m_work; ///< by model
     std::vector<std::vector<Copy>> m_copies; ///< by model
     std::vector<double> m_loads; ///< by runner
-    std::vector<std::size_t> m_order; ///< models with work, those with the fewest copies first
+    std::vector<std::size_t> m_order; ///< models with work and replicas, those with the fewest replicas first
 };
 
 } // namespace KingCup
--- a/src/core/demand.h
+++ b/src/core/demand.h
@@ -1,9 +1,9 @@
-// How much each artifact is asked for, now and shortly. Level and trend per artifact from counted arrivals; a step that chance
-// can't explain is taken over within two seconds, a fall only slowly, so that copies aren't dropped and loaded again.
+// Forecasts the demand for each artifact: level and trend, computed from counted arrivals. A statistically significant rise is adopted within
+// two seconds; a fall is adopted slowly, so that copies aren't dropped and soon loaded again.
 //
 // Index of sections (search for [SECTION]):
-//   Values           demand of one artifact, digest of one entry
-//   DemandForecast   the state
+//   Values           demand for one artifact, digest of one entry, options
+//   DemandForecast   the forecast of one process
 #pragma once
 
 #include "core/ids.h"
@@ -19,29 +19,29 @@
 
 // [SECTION] Values
 
-/// Demand of one artifact: of an adapter if requests name it, else of the model version.
+/// Demand for one artifact. Requests that name an adapter count for the adapter, all others for the model version.
 struct ArtifactDemand {
     ArtifactName artifact;
-    double perSecond = 0; ///< requests
-    Duration serviceTime; ///< mean at a target; 0: unknown
-    double missedPerSecond = 0; ///< refused or late
+    double perSecond = 0; ///< request rate
+    Duration serviceTime; ///< mean time of a request at a target; 0: unknown
+    double missedPerSecond = 0; ///< rate of refused or late requests
 };
 
-/// What one entry saw by itself, sent to the entry that plans.
+/// The demand that one entry has counted itself, sent to the entry that plans.
 struct DemandDigest {
     EntryId entry;
-    std::uint64_t sequence = 0; ///< a lower one than the last is ignored
+    std::uint64_t sequence = 0; ///< digests with a lower number than the last are ignored
     std::vector<ArtifactDemand> rates;
 };
 
 struct DemandOptions {
-    Duration bucket = Duration::seconds(1); ///< arrivals are counted in these
-    double riseWeight = 0.3; ///< weight of a bucket above the level
-    double fallWeight = 0.04; ///< weight of one below: half of a burst is forgotten after 17 buckets
-    double trendWeight = 0.1;
-    double stepDeviations = 4.0; ///< standard deviations of a Poisson count that make a step
-    Duration digestLifetime = Duration::seconds(5); ///< an entry that is silent for longer no longer counts
-    double forgetBelow = 0.0005; ///< per second; artifacts asked for less are dropped from the state
+    Duration bucket = Duration::seconds(1); ///< arrivals are counted in intervals of this length
+    double riseWeight = 0.3; ///< weight in the moving average of a bucket above the level
+    double fallWeight = 0.04; ///< weight of a bucket below the level: a burst decays to half after 17 buckets
+    double trendWeight = 0.1; ///< weight of a bucket in the moving average of the trend
+    double stepDeviations = 4.0; ///< a rise by this many standard deviations of a Poisson count is adopted as a step
+    Duration digestLifetime = Duration::seconds(5); ///< the last digest of an entry counts for this long
+    double forgetBelow = 0.0005; ///< requests per second; artifacts with less demand are removed from the state
 };
 
 // [SECTION] DemandForecast
@@ -52,27 +52,27 @@
     explicit DemandForecast(DemandOptions options = {});
 
     // Queries
-    /// This process's own arrivals alone.
+    /// Demand counted by this process alone.
     auto digest(const EntryId &self, std::uint64_t sequence) const -> DemandDigest;
-    /// Own arrivals and all fresh digests, `ahead` of now; in the artifacts' order.
+    /// Demand expected at `now` + `ahead`, from this process's arrivals and all unexpired digests; ordered by artifact.
     auto forecast(TimePoint now, Duration ahead) const -> std::vector<ArtifactDemand>;
 
     // Commands
-    auto arrived(const ArtifactName &artifact, TimePoint now, double count = 1) -> void;
-    auto missed(const ArtifactName &artifact, TimePoint now) -> void; ///< refused, or not in time
-    auto served(const ArtifactName &artifact, Duration serviceTime) -> void;
-    auto merge(const DemandDigest &digest, TimePoint now) -> void;
-    auto advance(TimePoint now) -> void; ///< closes buckets; call a few times a second
+    auto arrived(const ArtifactName &artifact, TimePoint now, double count = 1) -> void; ///< counts requests
+    auto missed(const ArtifactName &artifact, TimePoint now) -> void; ///< a request was refused or answered late
+    auto served(const ArtifactName &artifact, Duration serviceTime) -> void; ///< a request was answered
+    auto merge(const DemandDigest &digest, TimePoint now) -> void; ///< takes over another entry's digest
+    auto advance(TimePoint now) -> void; ///< closes the buckets that have ended; call a few times a second
 
 private:
     struct Series {
-        double count = 0; ///< in the open bucket
-        double missedCount = 0;
-        double previous = 0; ///< count of the bucket before
-        double level = 0; ///< per bucket
-        double trend = 0; ///< per bucket and bucket
-        double missedLevel = 0;
-        double serviceMicros = 0;
+        double count = 0; ///< arrivals in the open bucket
+        double missedCount = 0; ///< missed requests in the open bucket
+        double previous = 0; ///< arrivals in the last closed bucket
+        double level = 0; ///< smoothed arrivals per bucket
+        double trend = 0; ///< smoothed change of the level per bucket
+        double missedLevel = 0; ///< smoothed missed requests per bucket
+        double serviceMicros = 0; ///< smoothed service time
     };
     struct Received {
         DemandDigest digest;
--- a/src/core/demandhistory.h
+++ b/src/core/demandhistory.h
@@ -1,4 +1,5 @@
-// What the lease holder remembers of models' requests, for the copy plan. Pure. It begins anew with each tenure: what an earlier one saw is too old.
+// The request history of models that the holder of the order lease keeps for the copy plan. It is cleared whenever the lease is acquired, as the data of an
+// earlier term is out of date. No I/O.
 #pragma once
 
 #include "core/ids.h"
@@ -15,19 +16,19 @@
 class DemandHistory
 {
 public:
-    /// `warmupTime`: from the first request on, until a model without any counts as a silent one.
+    /// `warmupTime`: from the first request of a term until a model without requests counts as idle.
     explicit DemandHistory(Duration warmupTime);
 
     // Queries
-    auto isKnown(TimePoint now) const -> bool;
-    auto lastRequestAt() const -> const std::map<std::string, TimePoint> &; ///< by model
-    /// By model, since when it is asked for without a replica.
+    auto isKnown(TimePoint now) const -> bool; ///< whether the warm-up time has passed
+    auto lastRequestAt() const -> const std::map<std::string, TimePoint> &; ///< the last request, by model
+    /// By model, since when it has had requests but no replica.
     auto missingSince(const ServiceName &service) const -> std::map<std::string, TimePoint>;
 
     // Commands
-    auto restart() -> void; ///< a new tenure
+    auto restart() -> void; ///< clears everything when a new term begins
     auto modelRequested(const std::string &model, TimePoint now) -> void;
-    /// `requested`: the service's models with requests now; `available`: those that are held or being loaded.
+    /// `requested`: the service's models that have requests now; `available`: those that are loaded or being loaded.
     auto updateMissing(const ServiceName &service, const std::set<std::string> &requested, const std::set<std::string> &available, TimePoint now) -> void;
 
 private:
--- a/src/core/floor.cpp
+++ b/src/core/floor.cpp
@@ -76,7 +76,7 @@
 auto FloorPins::rowRead(RowSource source, RowVersion version, const ArtifactSet &namedForUs) -> bool
 {
     m_settled = m_settled || source == RowSource::Table;
-    // Rows overtake each other on the way. An older one may leave out what a newer one relies on.
+    // Rows may arrive out of order. An older row may lack an artifact that a newer one relies on.
     if (version <= m_version) {
         return false;
     }
--- a/src/core/floor.h
+++ b/src/core/floor.h
@@ -1,14 +1,16 @@
-// Floor copies: every declared artifact stays resident somewhere, whatever planners and holders do. Pure.
+// Floor copies: the protocol that keeps every declared artifact resident on at least one target, with several planners and with agents
+// that restart or read stale rows. No I/O.
 //
-// One table row, changed by compare-and-set, says which targets hold which artifacts. A copy is moved in two rows: the first names the
-// new holder beside the old, and once the new holder has confirmed the copy *at that version of the row*, the second leaves the old out.
-// Each holder pins what the newest row it has read names for it, and unpins only on a newer row. So the holder that a row leaves out may
-// drop its copy at any time after reading it: the others named there have confirmed theirs, and can't give them up on an older row.
+// One table row, changed by compare-and-set, says which targets hold which artifacts. A copy is moved by two writes of the row: the first
+// adds the new holder; once the new holder has confirmed the copy *at that version of the row*, the second removes the old holder.
+// Each holder pins the artifacts that the newest row it has read names for it, and unpins them only on a newer row. A holder that is no
+// longer named may therefore unload its copy as soon as it has read that row: all holders named in it have confirmed their copies, and an
+// older row doesn't let them unload.
 //
 // Index of sections (search for [SECTION]):
-//   Row       what the row names
-//   Holder    FloorPins, in an agent
-//   Planner   composeFloorRow(), in an entry
+//   Row       FloorRow, the content of the table row
+//   Holder    FloorPins, used by agents
+//   Planner   composeFloorRow(), used by entries
 #pragma once
 
 #include "core/ids.h"
@@ -36,30 +38,30 @@
     auto operator==(const FloorRow &) const -> bool = default;
 };
 
-/// The same as a plan, the form in which the row is stored and sent.
+/// Conversion from and to Plan, the form in which the row is stored and sent.
 auto floorRowOf(const Plan &plan) -> FloorRow;
 auto planOf(const FloorRow &row) -> Plan;
 
 // [SECTION] Holder
 
-/// Where a holder got a row from.
+/// Where a holder got the row from.
 enum class RowSource {
     Table, ///< read from the table service by the holder itself
-    Peer, ///< passed on by an entry; may be old
+    Peer, ///< forwarded by an entry; may be stale
 };
 
-/// What an agent must not unload.
+/// The artifacts that an agent must not unload.
 class FloorPins
 {
 public:
-    /// A started agent doesn't know what an earlier one confirmed. Until it has read the row from the table itself, everything it holds
-    /// is pinned: on an old row passed on by a lagging peer it would drop a copy that a planner has counted on since.
+    /// Whether the row has been read from the table since the agent started. Until then everything it holds is pinned: a new agent doesn't
+    /// know what its predecessor confirmed, and on a stale row from a lagging peer it would unload a copy that a planner relies on.
     auto isSettled() const -> bool;
-    auto version() const -> RowVersion; ///< of the newest row read
+    auto version() const -> RowVersion; ///< of the newest row that was read
     auto isPinned(const ArtifactName &artifact) const -> bool;
-    auto named() const -> const ArtifactSet &; ///< by the newest row for this target: to be loaded and kept
+    auto named() const -> const ArtifactSet &; ///< artifacts that the newest row assigns to this target: to be loaded and kept
 
-    /// Returns whether the row was newer than the last and was adopted. Version 0 from the table: there is no row yet.
+    /// Returns whether the row was adopted, which it is if it is newer than the last. Version 0 from the table means that there is no row yet.
     auto rowRead(RowSource source, RowVersion version, const ArtifactSet &namedForUs) -> bool;
 
 private:
@@ -70,24 +72,24 @@
 
 // [SECTION] Planner
 
-/// What a holder said last: the row it has read, and which of the artifacts named there it holds for good. A copy whose unload may still
-/// take effect doesn't count, nor does any while the holder's ledger isn't open: an earlier agent's unload may then still arrive.
+/// The last report of a holder. A copy whose unload may still take effect isn't listed as resident. Nothing is while the holder's
+/// MemoryLedger isn't open, as an unload that an earlier agent ordered may still arrive then.
 struct HolderReport {
-    RowVersion version;
-    ArtifactSet resident;
+    RowVersion version; ///< of the row that it has read
+    ArtifactSet resident; ///< artifacts named for it in that row that it holds
 };
 
 struct FloorInput {
     FloorRow current; ///< as read at `version`
     RowVersion version;
     FloorRow desired; ///< where the planner wants the copies
-    ArtifactSet declared; ///< others are left out of the row at once
+    ArtifactSet declared; ///< all other artifacts are removed from the row at once
     std::map<TargetId, HolderReport> reports;
 };
 
-/// The row to write next, expecting `version`; none if the current one needs no change yet. Adds new holders first and leaves out old
-/// ones of an artifact only when all its desired holders have confirmed it at `version`. A report from another version doesn't count:
-/// its holder may have been left out in between and dropped the copy.
+/// The row to write next if the table still holds `version`; none if the current row needs no change yet. New holders of an artifact are
+/// added first; old ones are removed only when all its desired holders have confirmed it at `version`. A report from another version
+/// doesn't count: the holder may have been removed from the row in between and have unloaded its copy.
 auto composeFloorRow(const FloorInput &input) -> std::optional<FloorRow>;
 
 } // namespace KingCup
--- a/src/core/floorplanning.cpp
+++ b/src/core/floorplanning.cpp
@@ -10,21 +10,21 @@
 namespace
 {
 
-/// A model version with its adapters, which are kept beside it.
+/// A model version and its adapters, which are placed on the same runner.
 struct Bundle {
     ArtifactName base;
     std::vector<ArtifactName> adapters;
     ServiceName service;
-    Bytes size; ///< of everything
-    double demand = 0; ///< requests a second, of everything
+    Bytes size; ///< of the model version and all adapters
+    double demand = 0; ///< requests per second for the model version and all adapters
 };
 
-/// A runner while the plan is made.
+/// A runner with the memory that the plan has used so far.
 struct RunnerBudget {
     const RunnerState *runner = nullptr;
-    Bytes usable; ///< without the KV cache's share
-    Bytes used;
-    int bundles = 0;
+    Bytes usable; ///< accelerator memory without the share reserved for the KV cache
+    Bytes used; ///< by planned copies
+    int bundles = 0; ///< number of planned model versions
 
     auto free() const -> Bytes
     {
@@ -75,7 +75,7 @@
             bundle.size += artifact.size;
             m_baseOf[name] = isBase ? name : artifact.base;
         }
-        // What was removed from the declarations but is still needed stays where it is; it gets no new copies.
+        // Artifacts that are no longer declared but still needed keep their copies and get no new ones.
         for (const auto &artifact : m_input.retained) {
             m_baseOf.try_emplace(artifact, artifact);
         }
@@ -87,7 +87,7 @@
         for (auto &[name, bundle] : bundles) {
             m_bundles.push_back(std::move(bundle));
         }
-        // Large ones first: they are the hard ones to fit.
+        // The largest bundles are placed first, as they are the hardest to fit.
         std::stable_sort(m_bundles.begin(), m_bundles.end(), [](const auto &left, const auto &right) { return left.size > right.size; });
     }
 
@@ -156,7 +156,7 @@
 
     auto keepOn(RunnerBudget &budget, const std::vector<ArtifactName> &artifacts) -> void
     {
-        // Bases before adapters: an adapter without its base is of no use.
+        // Bases before adapters, as an adapter is kept only where its base is.
         for (const bool bases : {true, false}) {
             for (const auto &artifact : artifacts) {
                 const auto base = m_baseOf.find(artifact);
@@ -186,8 +186,8 @@
         return std::any_of(list.begin(), list.end(), [&](const auto &resident) { return resident.artifact == artifact; });
     }
 
-    /// Puts a copy of the bundle where most memory is left, preferring a runner that holds it already (a surge copy becomes a floor copy
-    /// without a move), in a zone that has none yet.
+    /// Places a copy of the bundle in a zone that has none yet, on the runner with the most free memory. Runners on which the base is resident
+    /// are preferred, as a surge copy becomes a floor copy without a load. `share`: the share of usable memory that may be filled.
     auto placeCopy(const Bundle &bundle, double share, const std::string &why) -> bool
     {
         const auto zones = zonesOf(bundle.base);
@@ -223,7 +223,7 @@
         m_result.decisions.push_back({PlacementKind::Floor, artifact, target, why});
     }
 
-    /// An adapter that was declared after its base was placed: beside each copy of the base where it fits, at least beside one.
+    /// Places adapters that were declared after their base was placed: with each copy of the base where they fit, and with at least one.
     auto placeMissingAdapters() -> void
     {
         for (const auto &bundle : m_bundles) {
@@ -249,7 +249,7 @@
         if (isPlaced) {
             return;
         }
-        // No copy of the base has a free slot for it: a further copy of the base with this adapter alone.
+        // It fits with no copy of the base: place another copy of the base with only this adapter.
         const Bundle alone {bundle.base, {adapter}, bundle.service, sizeOf(bundle.base) + sizeOf(adapter), 0};
         if (!placeCopy(alone, 1.0, "adapter-with-own-base")) {
             m_result.unplaced.push_back(adapter);
@@ -258,7 +258,7 @@
 
     auto placeFurtherCopies(int wanted) -> void
     {
-        // Where not all can have another copy, the most asked for come first, then small ones: more of them fit.
+        // If memory doesn't suffice for all, the bundles with the highest demand come first, then the smallest, of which more fit.
         std::vector<const Bundle *> order;
         for (const auto &bundle : m_bundles) {
             order.push_back(&bundle);
@@ -289,9 +289,9 @@
     const PlacementInput &m_input;
     const PlacementOptions &m_options;
     std::vector<Bundle> m_bundles;
-    std::map<ArtifactName, ArtifactName> m_baseOf; ///< a base is its own
+    std::map<ArtifactName, ArtifactName> m_baseOf; ///< base of each artifact; a model version is its own base
     std::map<TargetId, RunnerBudget> m_budgets;
-    std::map<ArtifactName, std::set<TargetId>> m_copies; ///< of bases
+    std::map<ArtifactName, std::set<TargetId>> m_copies; ///< planned copies of model versions
     FloorResult m_result;
 };
 
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,14 +1,14 @@
-// Placement: which artifacts each runner holds. Two kinds of copies. The floor keeps every declared artifact resident whatever the
-// demand; surge copies follow demand and may be dropped at any time.
+// Placement: which artifacts each runner holds. There are two kinds of copies. Floor copies keep every declared artifact resident
+// independent of demand; surge copies follow demand and may be dropped at any time.
 //
-// One objective decides about surge copies: expected additional on-time deliveries over the horizon, minus the move cost for each
-// load. The same inputs give the same plan in every process.
+// Surge copies are chosen by one objective: the expected additional on-time answers over the horizon, minus the move cost of each load. The same
+// inputs give the same plan in every process.
 //
 // Index of sections (search for [SECTION]):
 //   Input          runners, demand, options
 //   Output         decisions with their reasons
-//   Floor          planFloor() says what should be; composeFloorRow() (core/floor.h) which part of it may be written now
-//   SurgePlanner   extra copies; keeps them between rounds
+//   Floor          planFloor() plans the desired floor; composeFloorRow() (core/floor.h) decides which part of it may be written now
+//   SurgePlanner   plans the surge copies; keeps them between rounds
 #pragma once
 
 #include "core/declarations.h"
@@ -30,38 +30,38 @@
 struct ResidentArtifact {
     ArtifactName artifact;
     Bytes size;
-    bool isLoading = false; ///< ordered, not yet confirmed
+    bool isLoading = false; ///< its load was ordered and isn't confirmed yet
 };
 
-/// A runner as last reported.
+/// The last reported state of a runner.
 struct RunnerState {
     TargetId id;
     ZoneName zone;
     ServiceName service;
     Bytes memoryTotal;
-    int concurrency = 0; ///< requests it runs at once; 0: unknown
-    bool isUsable = true; ///< live, its engine ready
+    int concurrency = 0; ///< requests that it runs at once; 0: unknown
+    bool isUsable = true; ///< the runner is alive and its engine is ready
     bool isLeaving = false;
-    Duration downFor; ///< while not usable
+    Duration downFor; ///< how long it has not been usable
     std::vector<ResidentArtifact> residents;
 };
 
 enum class PlacementStrategy {
     Objective,
-    Static, ///< baseline: the floor alone
-    LoadOnDemand, ///< baseline: no floor; loads what is asked for, dropping the least recently used
+    Static, ///< baseline: floor copies only
+    LoadOnDemand, ///< baseline: no floor; loads what is requested and evicts the least recently used copies
 };
 auto toString(PlacementStrategy strategy) -> const char *;
 auto placementStrategyFromString(const std::string &text) -> std::optional<PlacementStrategy>;
 
 struct PlacementOptions {
     PlacementStrategy strategy = PlacementStrategy::Objective;
-    double secondCopyShare = 0.92; ///< of usable memory that second floor copies may fill; the rest is for surge copies
-    double fullShare = 0.7; ///< of a runner's concurrency beyond which answers are taken to be late
-    double bytesPerSecond = 3e9; ///< of one load that is alone
-    int roundsToConfirm = 2; ///< a surge copy must pay in this many rounds running
-    double urgentFactor = 4.0; ///< or be worth this many times the move cost
-    Duration floorMoveDelay = Duration::seconds(30); ///< a runner may be down this long before its floor copies move
+    double secondCopyShare = 0.92; ///< share of usable memory up to which second and further floor copies are placed; the rest is left for surge copies
+    double fullShare = 0.7; ///< share of a runner's concurrency beyond which requests are assumed to be late
+    double bytesPerSecond = 3e9; ///< rate of a load while no other one runs
+    int roundsToConfirm = 2; ///< a surge copy must be worth its cost in this many consecutive rounds,
+    double urgentFactor = 4.0; ///< or its value must be this many times the move cost
+    Duration floorMoveDelay = Duration::seconds(30); ///< how long a runner may be down before its floor copies are moved
     int concurrencyIfUnknown = 32;
 };
 
@@ -69,8 +69,8 @@
     const Declarations *declarations = nullptr;
     std::vector<RunnerState> runners;
     std::vector<ArtifactDemand> demand;
-    Plan floor; ///< in force
-    std::vector<ArtifactName> retained; ///< no longer declared, but still needed until their successor is resident
+    Plan floor; ///< the floor plan in force
+    std::vector<ArtifactName> retained; ///< no longer declared, but needed until their successors are resident
 };
 
 // [SECTION] Output
@@ -88,19 +88,20 @@
 // [SECTION] Floor
 
 struct FloorResult {
-    Plan plan; ///< what should be
-    std::vector<PlacementDecision> decisions; ///< what differs from the floor in force
-    std::vector<ArtifactName> unplaced; ///< fit on no runner: an operator must act
+    Plan plan; ///< the desired floor
+    std::vector<PlacementDecision> decisions; ///< differences from the floor in force
+    std::vector<ArtifactName> unplaced; ///< fit on no runner: an operator must add capacity or remove declarations
 };
 
-/// Keeps what is well placed and adds what is missing: first one copy of everything, then copies in further zones where memory allows.
+/// Keeps the copies of the floor in force that still fit and adds missing ones: first one copy of each artifact, then copies in further zones
+/// where memory allows.
 auto planFloor(const PlacementInput &input, const PlacementOptions &options) -> FloorResult;
 
 // [SECTION] SurgePlanner
 
 struct SurgeResult {
-    Plan surge; ///< beyond the floor, per target; replaces the last
-    std::vector<PlacementDecision> decisions; ///< what is new since the last round
+    Plan surge; ///< all surge copies; replaces the plan of the last round
+    std::vector<PlacementDecision> decisions; ///< changes since the last round, and copies that wait for the weight store
 };
 
 class SurgePlanner
@@ -110,8 +111,8 @@
     ~SurgePlanner();
 
     auto surge() const -> const Plan &;
-    /// One round; call it about once a second. `wantedFloor` is planFloor()'s plan: its copies that the floor in force doesn't name yet
-    /// are requested as well.
+    /// Plans one round; call it about once a second. `wantedFloor` is the plan that planFloor() returned: those of its copies that the floor in
+    /// force doesn't name yet are loaded as surge copies.
     auto plan(const PlacementInput &input, const Plan &wantedFloor, TimePoint now) -> SurgeResult;
 
     struct Private;
--- a/src/core/placementmodel.cpp
+++ b/src/core/placementmodel.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr int SpreadRounds = 3; ///< of moving load from full holders to others; more change little
+constexpr int SpreadRounds = 3; ///< passes that move load from full to less busy holders; further passes change little
 constexpr auto ServiceTimeIfUnknown = Duration::seconds(1);
 
 } // namespace
@@ -186,7 +186,7 @@
         for (const auto &resident : m_runners[runner].state->residents) {
             const auto artifact = find(resident.artifact);
             if (artifact == NoIndex) {
-                // Retained, or being unloaded: its memory isn't ours to give away.
+                // No longer declared, but retained or still being unloaded: its memory isn't available for other copies.
                 m_runners[runner].used += resident.size;
                 continue;
             }
@@ -198,7 +198,8 @@
     }
 }
 
-/// Entries send to the holder that is expected to finish first, which levels the holders: each gets load by what it has free.
+/// Splits the artifact's requests over its holders in proportion to their spare capacity. Entries send each request to the holder that is
+/// expected to finish it first, which levels the load of the holders.
 auto PlacementModel::spread(ArtifactIndex artifact) -> void
 {
     auto &one = m_artifacts[artifact];
--- a/src/core/placementmodel.h
+++ b/src/core/placementmodel.h
@@ -1,9 +1,9 @@
-// The state that one round of surge planning works on, by number in place of by name: what each runner holds and how busy it will be.
-// At 1,600 models and 700 runners looking things up by name is most of a round's time.
+// The state of one round of surge planning: what each runner holds and how busy it is forecast to be. Runners and artifacts are addressed by
+// index: with 1,600 models and 700 runners, lookups by name took most of a round's time.
 //
 // Index of sections (search for [SECTION]):
 //   Parts            runners and artifacts of the model
-//   PlacementModel   the state, kept right while copies are added and dropped
+//   PlacementModel   the state, updated as copies are added and dropped
 #pragma once
 
 #include "core/placement.h"
@@ -16,17 +16,18 @@
 
 // [SECTION] Parts
 
-/// Indices into the model's lists.
+/// Indices into PlacementModel::runners() and artifacts().
 using RunnerIndex = std::size_t;
 using ArtifactIndex = std::size_t;
 constexpr std::size_t NoIndex = static_cast<std::size_t>(-1);
 
+/// A usable runner.
 struct ModelRunner {
     const RunnerState *state = nullptr;
-    Bytes usable; ///< without the KV cache's share
-    Bytes used; ///< by planned copies, and by what no plan names
-    double capacity = 0; ///< requests at once
-    double busy = 0; ///< requests running, by the forecast
+    Bytes usable; ///< accelerator memory without the share reserved for the KV cache
+    Bytes used; ///< by planned copies, and by resident artifacts that are no longer declared
+    double capacity = 0; ///< requests that it runs at once
+    double busy = 0; ///< forecast number of running requests
     std::vector<ArtifactIndex> surge; ///< surge copies
 
     auto free() const -> Bytes
@@ -35,18 +36,20 @@
     }
 };
 
+/// The part of an artifact's load that one of its copies takes.
 struct CopyLoad {
     RunnerIndex runner = 0;
-    double streams = 0; ///< of the artifact's requests, those that run here
+    double streams = 0; ///< the artifact's running requests on this runner, by the forecast
 };
 
+/// A declared artifact.
 struct ModelArtifact {
     const Artifact *declared = nullptr;
-    const ArtifactDemand *demand = nullptr; ///< null if none is known
-    ArtifactIndex base = NoIndex; ///< of an adapter
-    double streams = 0; ///< requests running at once, by the forecast
+    const ArtifactDemand *demand = nullptr; ///< null if no demand is known
+    ArtifactIndex base = NoIndex; ///< of an adapter; NoIndex for a model version
+    double streams = 0; ///< forecast number of running requests
     std::vector<CopyLoad> copies;
-    bool isLive = false; ///< on a usable runner: resident, or planned and so about to be
+    bool isLive = false; ///< resident or planned on a usable runner
 };
 
 // [SECTION] PlacementModel
@@ -60,17 +63,18 @@
     auto runners() const -> const std::vector<ModelRunner> &;
     auto artifacts() const -> const std::vector<ModelArtifact> &;
     auto find(const ArtifactName &name) const -> ArtifactIndex; ///< NoIndex if it isn't declared
-    auto find(const TargetId &id) const -> RunnerIndex; ///< NoIndex if it isn't usable
-    auto isOn(RunnerIndex runner, ArtifactIndex artifact) const -> bool; ///< planned there: floor or surge
+    auto find(const TargetId &id) const -> RunnerIndex; ///< NoIndex if the runner isn't usable or is leaving
+    auto isOn(RunnerIndex runner, ArtifactIndex artifact) const -> bool; ///< planned there, as floor or surge copy
     auto isResident(RunnerIndex runner, ArtifactIndex artifact) const -> bool;
-    /// Memory that a further copy takes on a runner: with the base if that isn't there. And the moves.
+    /// Memory that a new copy takes on a runner, and the number of loads it takes: including the base of an adapter if that isn't there.
     auto sizeOn(RunnerIndex runner, ArtifactIndex artifact) const -> Bytes;
     auto movesOn(RunnerIndex runner, ArtifactIndex artifact) const -> int;
-    /// Requests a second that will be late for want of capacity, at what `fullShare` of each runner's capacity carries.
+    /// Requests per second that are expected to be late: all if there is no copy, else those beyond PlacementOptions::fullShare of the runners'
+    /// capacity, and at least as many as are missed now.
     auto lostPerSecond(ArtifactIndex artifact) const -> double;
 
     // Commands
-    auto add(RunnerIndex runner, ArtifactIndex artifact) -> void; ///< a surge copy
+    auto add(RunnerIndex runner, ArtifactIndex artifact) -> void; ///< adds a surge copy
     auto drop(RunnerIndex runner, ArtifactIndex artifact) -> void;
 
 private:
@@ -87,8 +91,8 @@
     std::vector<ModelArtifact> m_artifacts;
     std::unordered_map<TargetId, RunnerIndex> m_runnerOf;
     std::unordered_map<ArtifactName, ArtifactIndex> m_artifactOf;
-    std::vector<bool> m_planned; ///< runner by artifact
-    std::vector<bool> m_resident;
+    std::vector<bool> m_planned; ///< one element for each runner and artifact, see matrixIndex()
+    std::vector<bool> m_resident; ///< laid out as m_planned
 };
 
 } // namespace KingCup
--- a/src/core/plan.cpp
+++ b/src/core/plan.cpp
@@ -91,16 +91,16 @@
 {
     const auto json = nlohmann::json::parse(text, nullptr, false);
     if (!json.is_object() || !json.contains("targets") || !json["targets"].is_object()) {
-        return Error {ErrorCode::InvalidInput, "a plan is a JSON object with \"targets\""};
+        return Error {ErrorCode::InvalidInput, "a plan must be a JSON object with an object \"targets\""};
     }
     Plan plan;
     for (const auto &[target, list] : json["targets"].items()) {
         if (!list.is_array()) {
-            return Error {ErrorCode::InvalidInput, "target " + target + " has no list of artifacts"};
+            return Error {ErrorCode::InvalidInput, "target " + target + " must have an array of artifact names"};
         }
         for (const auto &artifact : list) {
             if (!artifact.is_string()) {
-                return Error {ErrorCode::InvalidInput, "target " + target + " lists something that is no name"};
+                return Error {ErrorCode::InvalidInput, "target " + target + " lists an artifact that is not a string"};
             }
             plan.add(TargetId(target), ArtifactName(artifact.get<std::string>()));
         }
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -1,5 +1,5 @@
-// A floor plan: which artifacts each target keeps resident whatever the demand. A plain value with a JSON form, so that
-// it can be a table row and travel to agents unchanged.
+// A plan: which artifacts each target holds. The floor plan lists the copies that stay resident independent of demand; it is stored as a
+// table row and sent to agents in its JSON form.
 #pragma once
 
 #include "core/ids.h"
@@ -12,10 +12,10 @@
 namespace KingCup
 {
 
-/// The table's row that holds the floor plan in force.
+/// Key of the table row that holds the floor plan in force.
 constexpr auto FloorRowKey = "plan/floor";
 
-/// Holdings of targets, each list sorted by name. Targets that hold nothing are left out.
+/// Artifacts by target, each list sorted by name. Targets without artifacts have no entry.
 class Plan
 {
 public:
@@ -23,19 +23,19 @@
 
     auto isEmpty() const -> bool;
     auto contains(const TargetId &target, const ArtifactName &artifact) const -> bool;
-    auto artifactsOn(const TargetId &target) const -> const std::vector<ArtifactName> &; ///< empty if the target isn't named
-    auto holders(const ArtifactName &artifact) const -> std::vector<TargetId>; ///< in the targets' order
+    auto artifactsOn(const TargetId &target) const -> const std::vector<ArtifactName> &; ///< empty if the target has no entry
+    auto holders(const ArtifactName &artifact) const -> std::vector<TargetId>; ///< ordered by target
     auto targets() const -> std::vector<TargetId>;
-    auto copies() const -> std::size_t; ///< over all targets
+    auto copies() const -> std::size_t; ///< number of copies on all targets
 
-    auto add(const TargetId &target, const ArtifactName &artifact) -> void; ///< twice is once
+    auto add(const TargetId &target, const ArtifactName &artifact) -> void; ///< no effect if it is there already
     auto remove(const TargetId &target, const ArtifactName &artifact) -> void;
 
 private:
     std::map<TargetId, std::vector<ArtifactName>> m_holdings;
 };
 
-/// {"targets":{"runner-1":["sun@1","shade"]}}; equal plans give equal text.
+/// For example {"targets":{"runner-1":["sun@1","shade"]}}. Equal plans give equal text.
 auto planToJson(const Plan &plan) -> std::string;
 auto planFromJson(const std::string &text) -> Result<Plan>;
 
--- a/src/core/residency.cpp
+++ b/src/core/residency.cpp
@@ -44,7 +44,7 @@
         }
         const bool baseMissing = !want.base.isEmpty() && !m_ledger.isUsable(want.base);
         if (baseMissing) {
-            continue; // its base is a want of its own
+            continue; // its base is in the list of wanted artifacts too
         }
         if (m_ledger.mayLoad(want.name, want.bytes) != LedgerRefusal::NoMemory) {
             if (auto order = load(want)) {
@@ -52,7 +52,7 @@
             }
             continue;
         }
-        // Freed memory is for the most urgent want that lacks it: later ones must not take what is being freed for it.
+        // Memory is freed for the most urgent artifact that lacks it. Less urgent ones must not take what is being freed.
         return freeMemory(want);
     }
     return std::nullopt;
@@ -76,8 +76,8 @@
     return ResidencyOrder {OrderKind::Load, want.name, want.base, want.bytes, want.floor ? "floor" : "surge"};
 }
 
-// Evicts one artifact: unwanted ones before surge copies, the least urgent first. A surge want evicts only what nobody wants, or two
-// wants of the same urgency would take turns.
+// Evicts one artifact: unwanted ones before surge copies, the least urgent first. A surge copy evicts only unwanted artifacts; otherwise two
+// surge copies of similar urgency could evict each other in turn.
 auto ResidencyPlanner::freeMemory(const WantedArtifact &want) const -> std::optional<ResidencyOrder>
 {
     if (want.bytes <= m_ledger.freeBytes() + m_ledger.releasing()) {
--- a/src/core/residency.h
+++ b/src/core/residency.h
@@ -1,7 +1,8 @@
-// Which orders bring a runner from what it holds to what it should hold. Pure.
+// Which loads and unloads bring a runner from the artifacts it holds to those it should hold. No I/O.
 //
-// Wants come in order of urgency, floor copies first. Artifacts that nobody wants stay until their memory is needed, for loading them
-// again would be a move. An adapter is ordered once its base is resident, and a base stays while an adapter on it is there.
+// Wanted artifacts are listed in order of urgency, floor copies first. Unwanted artifacts stay resident until their memory is needed, as
+// loading them again would be expensive. An adapter is loaded once its base is resident, and a base isn't unloaded while one of its adapters
+// is resident or being loaded.
 #pragma once
 
 #include "core/ledger.h"
@@ -16,29 +17,29 @@
 /// One artifact that should be resident.
 struct WantedArtifact {
     ArtifactName name;
-    ArtifactName base; ///< adapters: what must be resident first
+    ArtifactName base; ///< of an adapter: the model version that must be resident first; else empty
     Bytes bytes;
-    bool floor = false; ///< named by the floor plan: never evicted, and may evict surge copies
+    bool floor = false; ///< named by the floor plan: isn't evicted for other artifacts, and may evict surge copies
 };
 
 struct ResidencyInput {
     std::vector<WantedArtifact> wanted; ///< most urgent first
-    std::vector<ArtifactName> retired; ///< no longer declared: unloaded as soon as nothing uses them
-    std::function<bool(const ArtifactName &)> isPinned; ///< must not be unloaded, wanted or not
-    std::function<bool(const ArtifactName &)> isInUse; ///< requests in flight
+    std::vector<ArtifactName> retired; ///< no longer declared: unloaded as soon as they are neither in use nor pinned
+    std::function<bool(const ArtifactName &)> isPinned; ///< must not be unloaded, even if it isn't wanted
+    std::function<bool(const ArtifactName &)> isInUse; ///< has requests in flight
     std::function<ArtifactName(const ArtifactName &)> baseOf; ///< of an adapter; empty for a model version
 };
 
-/// A load or unload to order now, and why.
+/// A load or unload to order now, with its reason.
 struct ResidencyOrder {
     OrderKind kind = OrderKind::Load;
     ArtifactName artifact;
     ArtifactName base;
-    Bytes bytes; ///< Load only
+    Bytes bytes; ///< of a load; 0 for an unload
     std::string reason; ///< for the log, e.g. "floor", "surge", "evicted-for=sun@2"
 };
 
-/// The order that should be given next, if any; ask again after giving it, for the ledger then charges it.
+/// The order to give next, if any. Call it again once the order is in the ledger, which then charges its memory.
 auto nextResidencyOrder(const MemoryLedger &ledger, const ResidencyInput &input) -> std::optional<ResidencyOrder>;
 
 } // namespace KingCup
--- a/src/core/runnerbook.cpp
+++ b/src/core/runnerbook.cpp
@@ -8,14 +8,14 @@
 namespace
 {
 
-/// After a report that didn't help, until the next one is asked for.
+/// Minimum time from a report to the request for the next one.
 constexpr auto ReportRetryDelay = Duration::millis(150);
-/// Between two orders to a runner that is still unloading, and how often that is tried before its report is asked for.
+/// Delay before an order is sent again to a runner that is still unloading, and the number of such retries before its report is requested.
 constexpr auto BusyRetryDelay = Duration::millis(80);
 constexpr int MaxBusyRetries = 6;
-/// An unload that takes longer than this is not what keeps the runner from other orders: its count of them is another than is known here.
+/// If an unload was accepted longer ago than this, it is no longer the reason for a refusal: the runner's order count differs from the one known here.
 constexpr auto MaxUnloadTime = Duration::seconds(1);
-/// How old what a report says may be: runners of the sizes in use say 200 ms.
+/// Maximum age of a report's content. Runners of the sizes in use report state that is 200 ms old.
 constexpr auto MaxReportAge = Duration::millis(400);
 
 auto contains(const std::vector<std::string> &list, std::string_view text) -> bool
@@ -84,7 +84,7 @@
         used += declared == nullptr ? Bytes() : declared->adapterWeights;
     }
     if (m_modelOrder && isBusy(now)) {
-        // Loaded, or not yet given back: an unload waits for the requests that still run.
+        // The memory of a load is taken, and that of an unload isn't free yet: the unload waits for running requests.
         const auto *declared = engine.model(m_modelOrder->order.model);
         used += declared == nullptr ? largest : declared->weights;
     }
@@ -115,7 +115,7 @@
 
 auto RunnerBook::isBusy(TimePoint now) const -> bool
 {
-    // While it unloads, it refuses other orders by itself: asking for its report would take longer than trying.
+    // A runner that is still unloading refuses other orders, so trying one is safe. A report would take longer.
     return m_modelOrder && (m_modelOrder->order.isLoad || m_isBusyReported || now < m_modelOrder->doneAt);
 }
 
@@ -203,8 +203,8 @@
     if (!m_isKnown) {
         return;
     }
-    // Whoever gives the orders knows better: the row may be older than one that was accepted, and adapters come and go without it.
-    // Believed, it would hide adapters that are there, and the next one ordered would be one too many.
+    // The models known here are newer: the row may have been written before an accepted order, and it lags behind changes of adapters.
+    // With the row's list, loaded adapters would be missing here, and the next adapter load would exceed the runner's slots.
     const auto *loaded = m_modelOrder && m_modelOrder->order.isLoad ? description.model(m_modelOrder->order.model) : nullptr;
     m_description.models = std::move(known);
     if (loaded != nullptr) {
@@ -224,9 +224,9 @@
     m_isReportPending = false;
     m_nextReportAt = now + ReportRetryDelay;
     if (report.startedAtMillis && m_description.incarnation.startedAtMillis != 0 && *report.startedAtMillis != m_description.incarnation.startedAtMillis) {
-        return; // another start than the row's: the row will follow
+        return; // the report is from another incarnation than the row; the row will be updated
     }
-    // What a report says is some hundred milliseconds old: fewer orders than are known of may only mean that.
+    // A report is some hundred milliseconds old, so a lower order count than the known one may only mean that.
     const bool mayBeOld = m_isKnown || m_reportRequestedAt - m_acceptedAt < MaxReportAge;
     if (report.ordersTaken < m_ordersTaken && mayBeOld) {
         return;
@@ -249,11 +249,11 @@
         return;
     }
     if (!m_modelOrder) {
-        m_modelOrder = PendingOrder {{false, "", ""}, {}, now}; // somebody else's
+        m_modelOrder = PendingOrder {{false, "", ""}, {}, now}; // ordered by another gateway
     }
     m_modelOrder->doneAt = std::max(m_modelOrder->doneAt, now + ReportRetryDelay);
     if (!m_modelOrder->order.isLoad) {
-        apply(m_modelOrder->order); // it still runs requests with the model, and takes no new ones
+        apply(m_modelOrder->order); // it still runs requests with the model but takes no new ones
     }
 }
 
@@ -282,7 +282,8 @@
         apply(pending.order);
     }
     if (isDone) {
-        // Done at once is counted for adapters that gave way, not for what held already: that is only known from a report.
+        // The runner counts an unload of an adapter that is done at once, but not an order that changed nothing. Whether another order was counted is only
+        // known from a report.
         const bool isCounted = !pending.order.isLoad && !pending.order.adapter.empty();
         m_ordersTaken += isCounted ? 1 : 0;
         m_isKnown = isCounted;
@@ -346,7 +347,8 @@
     if (m_unacknowledged && m_unacknowledged->order.isLoad) {
         m_unansweredLoads.push_back({m_unacknowledged->order, m_ordersTaken, now + m_options.maxOrderDelay});
     }
-    // The same number again is safe: either this order has taken effect and the next is refused, or the next one shuts it out.
+    // Using the same order count again is safe: either this order has taken effect and the next one is refused, or the next one is accepted and this one
+    // can't take effect any more.
     m_unacknowledged.reset();
 }
 
--- a/src/core/surgeplanning.cpp
+++ b/src/core/surgeplanning.cpp
@@ -14,23 +14,23 @@
 namespace
 {
 
-constexpr auto LoadLifetime = Duration::seconds(60); ///< a surge copy not resident after this no longer counts as a load under way
-constexpr double OnDemandFullLoad = 1.0; ///< the baseline loads another copy where holders are this full
-constexpr double Tenths = 10;
+constexpr auto LoadLifetime = Duration::seconds(60); ///< a requested copy that isn't resident after this no longer counts as a pending load
+constexpr double OnDemandFullLoad = 1.0; ///< load on demand adds a copy when all holders use this share of their capacity
+constexpr double Tenths = 10; ///< numbers in reasons are rounded to 1/10
 
 auto rounded(double number) -> double
 {
     return std::round(number * Tenths) / Tenths;
 }
 
-/// What the objective says about one more copy.
+/// Value of the objective for one more copy.
 struct CopyGain {
     RunnerIndex runner = NoIndex;
-    double value = 0; ///< on-time deliveries over the horizon, less the moves
-    double gain = 0; ///< the same without the moves
+    double value = 0; ///< gain minus the cost of its loads
+    double gain = 0; ///< additional on-time answers over the horizon
 };
 
-/// One surge copy, by name: what lasts from round to round.
+/// Identifies a surge copy from round to round.
 struct CopyName {
     TargetId target;
     ArtifactName artifact;
@@ -80,10 +80,10 @@
 struct SurgePlanner::Private {
     PlacementOptions options;
     Plan surge;
-    std::map<ArtifactName, int> roundsWanted; ///< for how many rounds running a further copy has paid
-    std::map<ArtifactName, TimePoint> lastRequestAt; ///< when each artifact was last asked for
-    std::map<CopyName, TimePoint> requestedAt;
-    double loadTokens = 0; ///< loads that the weight store would take now
+    std::map<ArtifactName, int> roundsWanted; ///< number of consecutive rounds in which a further copy was worth its cost
+    std::map<ArtifactName, TimePoint> lastRequestAt; ///< when each artifact last had demand
+    std::map<CopyName, TimePoint> requestedAt; ///< when each surge copy was added to the plan
+    double loadTokens = 0; ///< token bucket: loads that the weight store accepts now
     TimePoint lastRound;
     bool isStarted = false;
 };
@@ -91,8 +91,8 @@
 namespace
 {
 
-/// A surge copy that became part of the floor, or lost its declaration or its runner, is no surge copy any more. A runner that is down for a moment loses
-/// its surge copies with its memory, so they are requested anew by their worth.
+/// Removes surge copies that have become floor copies, are no longer declared or are on a runner that isn't usable. A runner that goes down loses its memory
+/// with the surge copies in it, so they are planned again if they are still worth their cost.
 auto prune(SurgePlanner::Private &state, const PlacementInput &input) -> void
 {
     std::set<TargetId> usable;
@@ -113,7 +113,7 @@
     }
 }
 
-/// One round over the planner's lasting state.
+/// One planning round on the planner's persistent state.
 class Round
 {
 public:
@@ -222,7 +222,7 @@
         m_result.decisions.push_back({PlacementKind::Drop, nameOf(artifact), targetOf(runner), why});
     }
 
-    // A floor copy that the row in force doesn't name yet is loaded first as a surge copy; the row is written once it is resident.
+    /// Loads floor copies that the row in force doesn't name yet as surge copies. The row is written once they are resident.
     auto requestFloor(const Plan &wantedFloor) -> void
     {
         if (m_input.floor.isEmpty()) {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// An artifact whose floor copies are all gone for now is not reachable: another copy stands in, whatever its demand.
+    /// Adds a copy of each artifact that is neither resident nor planned on any usable runner, independent of its demand: it couldn't be served otherwise.
     auto addStandIns() -> void
     {
         if (m_input.floor.isEmpty()) {
@@ -273,7 +273,8 @@
         return best;
     }
 
-    /// Surge copies that the others of their artifact can stand in for, the least needed first.
+    /// Surge copies on the runner that may be evicted, the least used first: the artifact's other copies can take their load, they weren't requested within
+    /// the last horizon, and they aren't the base of another surge copy there.
     auto evictable(RunnerIndex runner) const -> std::vector<ArtifactIndex>
     {
         std::vector<std::pair<double, ArtifactIndex>> order;
@@ -368,7 +369,7 @@
 
     auto addWorthwhileCopies() -> void
     {
-        // Most urgent first: what loses most deliveries.
+        // Artifacts with the most late requests come first.
         std::vector<std::pair<double, ArtifactIndex>> losing;
         for (ArtifactIndex artifact = 0; artifact < m_model.artifacts().size(); ++artifact) {
             const double lost = m_model.lostPerSecond(artifact);
@@ -386,7 +387,7 @@
         std::erase_if(m_state.roundsWanted, [&](const auto &entry) { return !stillWanted.contains(entry.first); });
     }
 
-    /// Whether another copy would pay.
+    /// Adds a copy if it is worth its cost and may be loaded now. Returns whether a copy is worth its cost.
     auto tryToAddCopy(ArtifactIndex artifact) -> bool
     {
         const double lost = m_model.lostPerSecond(artifact);
--- a/src/core/traffic.cpp
+++ b/src/core/traffic.cpp
@@ -67,7 +67,7 @@
 namespace
 {
 
-constexpr double PatientGoalFactor = 2; ///< times the shortest goal of the same priority
+constexpr double PatientGoalFactor = 2; ///< a goal of at least this many times the shortest one makes a route less urgent
 
 auto bandOf(int priority, Duration goal, Duration shortestGoal) -> UrgencyBand
 {
--- a/tests/unit_copies.cpp
+++ b/tests/unit_copies.cpp
@@ -1,4 +1,4 @@
-// How work spreads over copies, what a request costs a runner, and who has streams at a copy that gives way. Without network.
+// Spread of work over replicas, cost of a request to a runner, and reports of streams at draining replicas. Without network.
 #include "core/copyspread.h"
 #include "core/requestcost.h"
 #include "gateway/copyuse.h"
@@ -19,9 +19,9 @@
 
 } // namespace
 
-TEST_CASE("work goes to the emptiest runners with its model")
+TEST_CASE("work goes to the least loaded runners with its model")
 {
-    // Two models share runner 1. Spread evenly over copies it would seem to be the busiest, and runner 0 to have time that it hasn't.
+    // Two models share runner 1. With an even split over replicas runner 1 would seem the busiest, and runner 0 would seem to have spare capacity.
     CopySpread spread(2, 3);
     spread.setWork(0, 1.0);
     spread.setWork(1, 0.6);
@@ -41,7 +41,7 @@
     REQUIRE(spread.lowestLoad(0) == Approx(0.8).margin(0.02));
 }
 
-TEST_CASE("the loss rises ever more steeply until a runner is full, and then as steeply")
+TEST_CASE("the slope of the loss curve grows with the load and then stays constant")
 {
     const LossCurve curve;
     double slope = 0;
@@ -56,10 +56,10 @@
     REQUIRE(slope < 1.6);
 }
 
-TEST_CASE("a full runner doesn't make its model's requests seem dearer")
+TEST_CASE("an overloaded runner doesn't make its model's requests seem more expensive")
 {
-    // Load pattern: a model with too few copies. Its streams take three times as long, held up by each other. Counted by that time, its work would seem to
-    // treble, and copies of all other models would go for it.
+    // Load pattern: a model has too few replicas, so that its streams slow each other down and take three times as long. If the cost of a request were
+    // that time, the model's work would seem to triple and replicas of all other models would be evicted for it.
     RequestCost cost;
     for (int i = 0; i < 200; ++i) {
         cost.observe("m1", answer(0.01, 2, 3000));
@@ -72,7 +72,7 @@
     REQUIRE(cost.seconds("m1") < before * 2);
 }
 
-TEST_CASE("models are told apart by pace, and short answers that end first don't make all seem cheap")
+TEST_CASE("request cost is learnt by model, and short answers that end first don't make all models seem cheap")
 {
     RequestCost cost;
     for (int i = 0; i < 5; ++i) {
@@ -87,9 +87,9 @@
     REQUIRE(cost.seconds("slow") > cost.seconds("quick") * 4);
 }
 
-TEST_CASE("a copy that gives way is empty when every gateway has said so")
+TEST_CASE("the streams of a draining replica are known once every gateway has reported")
 {
-    // A gateway that was not heard may still have streams there; taken to have none, the unload would keep the runner waiting for them.
+    // A gateway without a report may still have streams there. If it counted as having none, the unload would be ordered too early and block the runner.
     const CopyKey copy(TargetId("r1"), "m1");
     CopyUseHooks hooks;
     int own = 2;
@@ -114,13 +114,13 @@
     own = 0;
     use.streamsReported("b", told);
     REQUIRE(use.streams({"b", "c"}).at(copy) == 0);
-    // What was told of a move that is over says nothing of the next one.
+    // Reports for a finished move don't count for the next one.
     use.setMoves({});
     use.setMoves({{TargetId("r1"), CopyMove {"m2", {"m1"}, TimePoint()}}});
     REQUIRE(use.streams({"b", "c"}).empty());
 }
 
-TEST_CASE("a gateway tells of its streams at once, and until the copy no longer gives way")
+TEST_CASE("a gateway reports its streams at a replica from the start of draining to its end")
 {
     CopyUseHooks hooks;
     std::vector<int> told;
--- a/tests/unit_demand.cpp
+++ b/tests/unit_demand.cpp
@@ -36,9 +36,9 @@
 
 } // namespace
 
-TEST_CASE("a tenfold step is followed within three seconds")
+TEST_CASE("the forecast follows a tenfold step within three seconds")
 {
-    // Demand moves without warning. Each second in which the forecast lags is a second of answers that come late for want of a copy.
+    // Demand rises without warning. While the forecast lags, copies are missing and answers are late.
     const auto seed = GENERATE(range(1U, 21U));
     std::mt19937 random(seed);
     DemandForecast demand;
@@ -49,7 +49,7 @@
     REQUIRE(rate(demand, 63) < 40);
 }
 
-TEST_CASE("chance alone doesn't make the forecast flap")
+TEST_CASE("random fluctuation of steady demand doesn't make the forecast jump")
 {
     const auto seed = GENERATE(range(1U, 21U));
     std::mt19937 random(seed);
@@ -64,7 +64,7 @@
     REQUIRE(most < 15);
 }
 
-TEST_CASE("a pause within a burst is not its end")
+TEST_CASE("a short pause in a burst barely lowers the forecast")
 {
     std::mt19937 random(1);
     DemandForecast demand;
@@ -75,7 +75,7 @@
     REQUIRE(rate(demand, 200) < 1);
 }
 
-TEST_CASE("an entry adds what the others tell it while they are heard from")
+TEST_CASE("the forecast includes the digests of other entries until they expire")
 {
     DemandForecast demand;
     demand.merge({EntryId("other"), 2, {{Sun, 7, Duration::seconds(1), 1}}}, at(0));
@@ -89,7 +89,7 @@
     REQUIRE(demand.forecast(at(10), Duration()).empty());
 }
 
-TEST_CASE("what is no longer asked for is forgotten")
+TEST_CASE("artifacts without demand are removed from the state")
 {
     DemandForecast demand;
     demand.arrived(Sun, at(0));
--- a/tests/unit_floor.cpp
+++ b/tests/unit_floor.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("a copy moves in two rows: first both, then the new one alone")
+TEST_CASE("a copy is moved by two writes: the first adds the new holder, the second removes the old one")
 {
     FloorInput input {.current = row({{A, {Sun}}}), .version = RowVersion(1), .desired = row({{B, {Sun}}}), .declared = {Sun}, .reports = {}};
     input.reports[A] = {RowVersion(1), {Sun}};
@@ -33,16 +33,16 @@
     REQUIRE(composeFloorRow(input) == row({{B, {Sun}}}));
 }
 
-TEST_CASE("a copy confirmed at an earlier row doesn't count")
+TEST_CASE("a copy that was confirmed at an earlier version of the row doesn't count")
 {
-    // A planner wakes from a pause and remembers that the new holder has the model. In between a row left that holder out and it
-    // dropped the copy. Were the old holder told to drop too, callers would find the model nowhere.
+    // After a pause a planner still has the new holder's confirmation. In between that holder was removed from the row and unloaded its copy.
+    // If the planner now removed the old holder too, no copy would be left.
     FloorInput input {.current = row({{A, {Sun}}, {B, {Sun}}}), .version = RowVersion(5), .desired = row({{B, {Sun}}}), .declared = {Sun}, .reports = {}};
     input.reports[B] = {RowVersion(3), {Sun}};
     REQUIRE_FALSE(composeFloorRow(input));
 }
 
-TEST_CASE("a planner that wants no copy of a declared model leaves the row as it is")
+TEST_CASE("a declared model without a desired holder keeps its row")
 {
     const FloorInput input {.current = row({{A, {Sun}}}), .version = RowVersion(5), .desired = {}, .declared = {Sun}, .reports = {}};
     REQUIRE_FALSE(composeFloorRow(input));
@@ -63,8 +63,8 @@
 
 TEST_CASE("a restarted holder keeps everything until it has read the row itself")
 {
-    // An agent confirms a copy and restarts. A lagging entry passes it an old row that doesn't name the copy. Were it dropped, the planner
-    // that counted on the confirmation would have the last other copy dropped too.
+    // An agent confirms a copy and restarts. A lagging entry forwards an old row that doesn't name the copy. If the agent unloaded it, the planner
+    // that relies on the confirmation would let the other holder unload the last copy.
     FloorPins pins;
     pins.rowRead(RowSource::Peer, RowVersion(3), {});
     REQUIRE(pins.isPinned(Sun));
@@ -72,10 +72,10 @@
     REQUIRE_FALSE(pins.isPinned(Sun));
 }
 
-TEST_CASE("the last copy is never dropped, over seeds of two planners, pauses, restarts and a crash")
+TEST_CASE("the last copy is never unloaded, with two planners, delays and restarts, over many seeds")
 {
-    // Two planners with changing surge plans write the row from what they read some time ago, holders read rows late and out of order, restart,
-    // and one holder's engine crashes empty now and then while another copy is held. A model with no copy can't answer its callers.
+    // Two planners with changing floor plans write the row based on stale reads and reports. Holders read rows late and out of order, and their
+    // agents restart. At no step may the model be without a copy.
     const auto seed = GENERATE(range(1, 301));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
     const auto upTo = [&](std::size_t n) {
@@ -103,7 +103,7 @@
         const auto &target = targets[upTo(3)];
         auto &holder = holders[target];
         switch (upTo(8)) {
-        case 0: // a planner reads the row and changes its mind
+        case 0: // a planner reads the row and may choose another desired holder
             planner.input.current = rows.back();
             planner.input.version = RowVersion(rows.size());
             planner.input.declared = {Sun};
@@ -111,11 +111,11 @@
                 planner.input.desired = row({{targets[upTo(3)], {Sun}}});
             }
             break;
-        case 1: // and hears a holder's report
+        case 1: // it receives a holder's report
             planner.input.reports[target] = {holder.pins.version(), holder.resident ? ArtifactSet {Sun} : ArtifactSet {}};
             break;
         case 2:
-        case 3: { // and writes, if nobody has since
+        case 3: { // it writes the row unless that has changed since its read
             const auto next = composeFloorRow(planner.input);
             if (next && planner.input.version == RowVersion(rows.size())) {
                 rows.push_back(*next);
@@ -123,22 +123,22 @@
             }
             break;
         }
-        case 4: { // a holder hears of some row, perhaps an old one
+        case 4: { // a holder receives some version of the row from a peer
             const auto version = upTo(rows.size());
             holder.pins.rowRead(RowSource::Peer, RowVersion(version + 1), rows[version].artifactsOf(target));
             break;
         }
-        case 5:
+        case 5: // a holder reads the row from the table
             holder.pins.rowRead(RowSource::Table, RowVersion(rows.size()), rows.back().artifactsOf(target));
             break;
-        case 6: // it loads what it should hold, or drops what it need not
+        case 6: // a holder loads the artifact if it is named for it, or unloads it if it isn't pinned
             if (holder.pins.named().contains(Sun)) {
                 holder.resident = true;
             } else if (!holder.pins.isPinned(Sun)) {
                 holder.resident = false;
             }
             break;
-        case 7: // its agent restarts, its engine keeps what it holds
+        case 7: // a holder's agent restarts, its engine keeps its artifacts
             if (upTo(4) == 0) {
                 holder.pins = FloorPins();
             }
--- a/tests/unit_orders.cpp
+++ b/tests/unit_orders.cpp
@@ -1,4 +1,4 @@
-// What one gateway knows and orders for all runners: the lease, the books it keeps of them, and the plan of copies. In virtual time.
+// The order lease, the state of runners as known to its holder, the planning of replicas and adapters, and the limit on loads. In virtual time.
 #include "core/adapterplan.h"
 #include "core/copyplan.h"
 #include "core/loadmeter.h"
@@ -19,7 +19,7 @@
     return TimePoint() + Duration::seconds(seconds);
 }
 
-/// Moments from `from` on, before `to`, each `step` seconds.
+/// Times from `from` up to but not including `to`, `step` seconds apart.
 auto moments(double from, double to, double step) -> std::vector<double>
 {
     std::vector<double> list;
@@ -31,7 +31,7 @@
     return list;
 }
 
-/// The row of the lease as the store keeps it, and any number of gateways that go for it.
+/// The lease's row in the store. step() runs the next read or write of a gateway that competes for the lease.
 class LeaseBench
 {
 public:
@@ -94,10 +94,10 @@
     REQUIRE(bench.version().value() >= 5); // renewed each 1.2 s
 }
 
-TEST_CASE("a holder that is frozen gives no order after its lease, and its successor none before")
+TEST_CASE("a frozen holder gives no order after its lease, and its successor gives none before that")
 {
-    // The holder's host stops for some seconds and goes on as if nothing had been. Meanwhile another gateway has taken the lease. Were the
-    // first to go on with orders, two would plan for the same runners, and runners would be filled beyond their memory.
+    // The holder's host stops for some seconds, and another gateway takes the lease meanwhile. If the first one went on giving orders, two gateways
+    // would plan for the same runners and exceed their memory.
     LeaseBench bench;
     OrderLease first(First, {}, at(0));
     OrderLease second(Second, {}, at(0));
@@ -115,16 +115,16 @@
     REQUIRE(taken > 0);
     REQUIRE_FALSE(first.mayOrder(at(taken)));
     REQUIRE(second.fence() > first.fence());
-    bench.step(first, taken + 0.1); // thawed: writes under the version it knew, and is refused
+    bench.step(first, taken + 0.1); // running again: its write expects the old version and is refused
     bench.step(first, taken + 1);
     REQUIRE_FALSE(first.isHolder());
     REQUIRE_FALSE(first.mayOrder(at(taken + 1)));
 }
 
-TEST_CASE("a write whose answer was lost counts from when it left")
+TEST_CASE("a write whose answer was lost counts from when it was sent")
 {
-    // The store took the renewal, its answer was lost. The holder reads the row to see. Counted from the reading, the lease would seem to
-    // last longer than its successor waits.
+    // The store applied the renewal but its answer was lost, so the holder reads the row. If the lease counted from that read, the holder would
+    // rely on it longer than a successor waits.
     LeaseBench bench;
     OrderLease lease(First, {}, at(0));
     runUntil(bench, lease, 0, 1);
@@ -145,10 +145,10 @@
     REQUIRE_FALSE(lease.mayOrder(at(4.8))); // 2 + 3 - 0.3
 }
 
-TEST_CASE("a gateway that starts again doesn't take its predecessor's lease for its own")
+TEST_CASE("a restarted gateway doesn't take its predecessor's lease for its own")
 {
-    // The holder is killed and starts again on its host within the lease. Were the row taken for its own, its orders would bear the old number
-    // and overtake those of before. It writes the row anew, but only when the last orders of before have arrived.
+    // The holder is killed and restarts on its host within the lease. If it took the row for its own, its orders would carry the old fence and could
+    // overtake those of its predecessor. It writes the row again, but only when the predecessor's last orders have arrived.
     LeaseBench bench;
     OrderLease before(First, {}, at(0));
     runUntil(bench, before, 0, 1);
@@ -167,9 +167,9 @@
     REQUIRE_FALSE((before.isHolder() && before.mayOrder(at(3.2))));
 }
 
-TEST_CASE("a gateway on another host waits a whole lease for the holder, also if their names begin alike")
+TEST_CASE("a gateway on another host waits a whole lease for the holder, even if its name starts with that of the holder")
 {
-    // Only a start on the holder's own host shows that the holder has ended.
+    // Only a restart on the holder's own host shows that the holder has ended.
     LeaseBench bench;
     OrderLease holder(HolderName("gateway-a#1"), {}, at(0));
     runUntil(bench, holder, 0, 1);
@@ -178,10 +178,10 @@
     REQUIRE_FALSE(other.isHolder());
 }
 
-TEST_CASE("a digest that names a newer version undoes the decision to take the row")
+TEST_CASE("a digest with a newer version cancels the decision to take the row")
 {
-    // A successor has read the row, unchanged for a lease, and is about to write when the holder, long silent to it, is heard with a renewed row. Written
-    // upon the version that the digest names, the row would change hands while its holder goes on.
+    // A successor has seen the row unchanged for a whole lease and is about to write when a digest of the holder, after a long silence, announces a renewed
+    // row. If the write expected the version in that digest, the lease would be taken while its holder goes on giving orders.
     LeaseBench bench;
     OrderLease first(First, {}, at(0));
     OrderLease second(Second, {}, at(0));
@@ -196,10 +196,10 @@
     REQUIRE(second.nextStep(at(4.1)) != LeaseStep::Write);
 }
 
-TEST_CASE("a holder that falls silent is succeeded one lease after it was last heard")
+TEST_CASE("the lease of a holder that falls silent is taken one lease duration after its last digest")
 {
-    // The holder's host loses power. Meanwhile nobody loads what requests wait for. A successor that begins to watch the row only when it misses the holder
-    // waits a second longer than it must.
+    // The holder's host loses power, and no models are loaded for waiting requests until a successor takes over. A successor that starts watching the row
+    // only once it misses the holder's digests waits a second longer than necessary.
     LeaseBench bench;
     OrderLease first(First, {}, at(0));
     OrderLease second(Second, {}, at(0));
@@ -220,9 +220,9 @@
     REQUIRE(taken < 5.8 + 3 + 0.3);
 }
 
-TEST_CASE("while the store is away the holder goes on as long as each other gateway says that it hears it")
+TEST_CASE("while the store is unreachable the holder goes on as long as every other gateway confirms its digests")
 {
-    // Without this a store that is away for seconds leaves every request waiting that needs an adapter loaded.
+    // Without this, requests that need an adapter loaded would wait for the whole of a short outage of the store.
     LeaseBench bench;
     OrderLease lease(First, {}, at(0));
     runUntil(bench, lease, 0, 1);
@@ -241,7 +241,7 @@
         digest(now, true);
         REQUIRE(lease.mayOrder(at(now)));
     }
-    // One of them doesn't hear it any more: it may have begun to count.
+    // One of them no longer confirms: its wait for the end of the lease may have begun.
     for (const double now : moments(9, 13, 0.2)) {
         digest(now, false);
     }
@@ -277,23 +277,24 @@
 
 } // namespace
 
-TEST_CASE("while the store is away the holder goes on though a gateway that is no candidate is gone")
+TEST_CASE("while the store is unreachable the holder doesn't need the confirmation of a gateway that is no candidate")
 {
-    // Of a hundred gateways one is always gone or starting again: needing the confirmation of each, holders lost the lease in each outage of the store.
+    // Of a hundred gateways one is always down or restarting. With confirmations required from all of them, holders lost the lease in each outage of the
+    // store.
     CandidateBench all;
     for (const double now : moments(1, 9, 0.2)) {
         all.digest(now);
         REQUIRE(all.holder.mayOrder(at(now)));
     }
     for (const double now : moments(9, 12, 0.2)) {
-        all.digest(now, false); // the candidate may have begun to count
+        all.digest(now, false); // the candidate's wait for the end of the lease may have begun
     }
     REQUIRE_FALSE(all.holder.mayOrder(at(12)));
 }
 
-TEST_CASE("a gateway that is no candidate and reaches the store alone takes the lease only after the holder has stopped")
+TEST_CASE("if only a gateway that is no candidate reaches the store, it takes the lease only after the holder has stopped")
 {
-    // The candidates confirm the holder's digests, the store refuses the holder, and a third gateway hears nothing of it but reaches the store.
+    // The candidates confirm the holder's digests, the holder can't reach the store, and a third gateway gets no digests but reaches the store.
     CandidateBench all;
     OrderLease bystander(HolderName("gateway-c#1"), {}, at(1));
     double taken = 0;
@@ -310,7 +311,7 @@
     CHECK(taken < 20);
 }
 
-TEST_CASE("a candidate that hears nothing takes the lease after one duration, and a dead holder's row is taken though all candidates died")
+TEST_CASE("a candidate without digests takes the lease after one lease duration, and others take it later if all candidates died too")
 {
     CandidateBench all;
     OrderLease candidate(HolderName("gateway-b#1"), {}, at(1));
@@ -327,7 +328,7 @@
     CHECK(bystander.mayOrder(at(17)));
 }
 
-TEST_CASE("a write without an answer may have named other candidates: those are needed too")
+TEST_CASE("after a write without an answer the confirmations of old and new candidates are needed")
 {
     CandidateBench all;
     all.holder.setCandidates({Bystander});
@@ -340,7 +341,7 @@
     CHECK_FALSE(all.holder.mayOrder(at(8)));
 }
 
-TEST_CASE("a peer that ignores candidates is needed like one")
+TEST_CASE("the confirmation of a peer that ignores candidates is needed like that of a candidate")
 {
     CandidateBench all;
     all.holder.peerIgnoresCandidates(Bystander);
@@ -350,7 +351,7 @@
     CHECK_FALSE(all.holder.mayOrder(at(8)));
 }
 
-TEST_CASE("lease candidates: much processor time first, one of each availability zone before a second one")
+TEST_CASE("lease candidates are chosen by processor time, one from each availability zone before a second one")
 {
     const auto member = [](const std::string &id, const std::string &zone, double share) {
         return LeaseMember {EntryId(id), ZoneName(zone), share};
@@ -365,10 +366,10 @@
     CHECK(chooseLeaseCandidates({}, 4).empty());
 }
 
-TEST_CASE("a lease that was over is not brought back by the others' word")
+TEST_CASE("a lease that has expired isn't extended by late confirmations")
 {
-    // The holder's host is frozen for longer than a lease. A successor has begun to write the row when the holder, thawed, sends its next digest;
-    // the successor hears that, says so in its own digest, and its write takes effect. Were the word to count, both would give orders.
+    // The holder's host is frozen for longer than a lease. A successor's write is in flight when the holder runs again and sends its next digest. The
+    // successor confirms that digest, and its write takes effect. If the confirmation counted, both would give orders.
     LeaseBench bench;
     OrderLease first(First, {}, at(0));
     runUntil(bench, first, 0, 1);
@@ -384,7 +385,7 @@
     REQUIRE(first.mayOrder(at(7)));
 }
 
-TEST_CASE("who hears the holder doesn't take its lease, however long the row stands unchanged")
+TEST_CASE("a gateway that receives the holder's digests doesn't take the lease, however long the row is unchanged")
 {
     LeaseBench bench;
     bench.put(First.text() + " 1");
@@ -454,7 +455,7 @@
 
 } // namespace
 
-TEST_CASE("nothing is ordered from a runner before its report")
+TEST_CASE("a runner gets no order before its first report")
 {
     const auto engine = declaredEngine(2);
     RunnerBook book;
@@ -464,10 +465,10 @@
     REQUIRE(knownBook(description("r1", {})).mayOrder(load("m1"), engine, at(0)));
 }
 
-TEST_CASE("a row that is older than an accepted order doesn't bring back what was there before")
+TEST_CASE("a row that is older than an accepted order doesn't reset the models and adapters known since")
 {
-    // Rows are written every second, orders are accepted in between. A row from before an adapter's load, believed, hides the adapter: the
-    // next one ordered is one too many, and the runner's memory or its places are exceeded.
+    // Rows are written every second, and orders are accepted in between. If a row from before an adapter's load were applied, the adapter would be
+    // missing here, and the next load would exceed the runner's memory or adapter slots.
     const auto engine = declaredEngine(1, 8);
     auto book = knownBook(description("r1", {{"m1", 0, {}}}));
     for (int i = 1; i <= 4; ++i) {
@@ -480,11 +481,11 @@
     REQUIRE_FALSE(book.mayOrder(load("m1", "a5"), engine, at(5)));
 }
 
-TEST_CASE("an order without an answer is charged only where it can still meet its number")
+TEST_CASE("a load without an answer is charged only where it can still take effect")
 {
-    // The load of a model got no answer. It names the orders that the runner must have taken before, so it can act only in that state, and
-    // the next order under that number shuts it out. Charged regardless, a runner would stay without its models for as long as orders can
-    // be late; not charged after the runner starts again under its id, a late load would fill it beyond its memory.
+    // The load of a model got no answer. It takes effect only at the runner's order count that it was sent with, and the next order with the same
+    // number prevents that. If it were always charged, the runner would get no models for as long as an order may be delayed. If it weren't charged
+    // after a restart of the runner under the same id, the late load could exceed the runner's memory.
     const auto engine = declaredEngine(3);
     auto book = knownBook(description("r1", {}), 5);
     book.ordered(load("m1"), Duration::seconds(4), at(1));
@@ -492,12 +493,12 @@
     REQUIRE(book.mayOrder(load("m2"), engine, at(2)));
     REQUIRE(book.freeMemory(engine, at(2)) == engine.memory);
 
-    // It starts again and counts from 0: the late load may meet its number 5 there.
+    // The runner restarts and counts from 0: the late load takes effect if it arrives when the count is 5.
     book.descriptionReceived(description("r1", {}, 2), at(3));
     book.reportRequested(at(3));
     book.reported({}, at(3.1));
     REQUIRE(book.freeMemory(engine, at(3.1)) == engine.memory - Bytes::gigabytes(WeightsGb));
-    REQUIRE(book.freeMemory(engine, at(16)) == engine.memory); // too late by now
+    REQUIRE(book.freeMemory(engine, at(16)) == engine.memory); // the load can't arrive any more
 }
 
 TEST_CASE("a report that is older than the last order changes nothing")
@@ -515,7 +516,7 @@
     REQUIRE(book.description().model("m1") == nullptr);
 }
 
-TEST_CASE("a refused order leads to a report, not to another order")
+TEST_CASE("after a refused order a report is requested before the next order")
 {
     const auto engine = declaredEngine(2);
     auto book = knownBook(description("r1", {}));
@@ -525,7 +526,7 @@
     REQUIRE(book.needsReport(at(1.2)));
 }
 
-TEST_CASE("a runner in another's stead gets no order while it carries one out, nor one that leaves")
+TEST_CASE("a runner gets no order while it executes one or while it is leaving")
 {
     const auto engine = declaredEngine(3);
     auto book = knownBook(description("r1", {}));
@@ -541,7 +542,7 @@
 namespace
 {
 
-/// Runners and demand for the planner.
+/// Runners and demand as input of planCopies() and placeAdapter().
 class PlanBench
 {
 public:
@@ -604,17 +605,17 @@
 
 } // namespace
 
-TEST_CASE("a model without a copy gets one, also when hardly anybody asks for it")
+TEST_CASE("a model without a replica gets one, even without requests")
 {
     PlanBench bench(declaredEngine(3));
     bench.add("r1", {{"m1", 0, {}}}).add("r2", {{"m2", 0, {}}}).work("m1", 0.1, 0.1);
     REQUIRE(loadsOf(bench.plan(), "m3") == 1);
 }
 
-TEST_CASE("demand that moves to another model within seconds gets its copies from what the forecast says")
+TEST_CASE("replicas are planned by the forecast when demand shifts to another model within seconds")
 {
-    // Load pattern: what was asked of m1 is asked of m2 within some seconds; a load takes four. By the level alone m2 would get its copies
-    // when the move is over.
+    // Load pattern: the requests for m1 shift to m2 within some seconds, and a load takes four. Planned by current demand alone, m2 would get its
+    // replicas after the shift.
     PlanBench bench(declaredEngine(2));
     for (int i = 0; i < 6; ++i) {
         bench.add("r" + std::to_string(i), i == 0 ? std::vector<ResidentModel> {{"m2", 0, {}}} : std::vector<ResidentModel> {{"m1", 0, {}}});
@@ -625,9 +626,9 @@
     REQUIRE(orders.front().order == load("m2"));
 }
 
-TEST_CASE("after the loss of many runners the models that most work waits for come first, and none is forgotten")
+TEST_CASE("after the loss of many runners the models with the most work come first, and all models get a replica")
 {
-    // Load pattern: two thirds of the runners crash at once; all copies of m1 (busy) and m4 (rare) are gone.
+    // Load pattern: two thirds of the runners crash at once, and with them all replicas of m1 (busy) and m4 (rarely requested).
     PlanBench bench(declaredEngine(4));
     bench.add("r1", {{"m2", 0, {}}, {"m3", 0, {}}}).add("r2", {}).add("r3", {});
     bench.work("m1", 1.5, 1.5).work("m2", 0.1, 0.1).work("m3", 0.05, 0.05);
@@ -637,10 +638,10 @@
     REQUIRE(loadsOf(orders, "m4") + loadsOf(orders, "m1") >= 2);
 }
 
-TEST_CASE("a busy model that lost its last copy gets one, however little one runner can do of its work")
+TEST_CASE("a busy model that lost its last replica gets one, even if one runner can serve little of its work")
 {
-    // Load pattern: the last runner with a model leaves while several runners' worth of requests ask for it. One copy can't serve them all, and its runner
-    // would be asked for five times what it can do; without one all of them are refused, for good.
+    // Load pattern: the last runner with a model leaves while requests for the model would keep five runners busy. One replica can't serve them all, but
+    // without one all of them are refused permanently.
     PlanBench bench(declaredEngine(4));
     bench.add("r1", {{"m2", 0, {}}, {"m3", 0, {}}}).add("r2", {{"m2", 0, {}}, {"m4", 0, {}}}).add("r3", {{"m3", 0, {}}, {"m4", 0, {}}});
     bench.work("m1", 5, 5).work("m2", 0.5, 0.5).work("m3", 0.2, 0.2).work("m4", 0.2, 0.2);
@@ -652,14 +653,14 @@
     }
 }
 
-TEST_CASE("copies don't chase each other: a calm fleet gets no orders")
+TEST_CASE("a fleet under low, steady load gets no orders")
 {
     PlanBench bench(declaredEngine(2));
     bench.add("r1", {{"m1", 0, {}}, {"m2", 0, {}}}).add("r2", {{"m1", 0, {}}, {"m2", 0, {}}}).work("m1", 0.3, 0.3).work("m2", 0.3, 0.3);
     REQUIRE(bench.plan().empty());
 }
 
-TEST_CASE("the last copy of a model never gives way to another copy of a busy one")
+TEST_CASE("the last replica of a model isn't evicted for a further replica of a busy one")
 {
     PlanBench bench(declaredEngine(3));
     bench.add("r1", {{"m1", 0, {}}, {"m2", 0, {}}})
@@ -672,7 +673,7 @@
     }
 }
 
-TEST_CASE("runners that don't answer don't count as copies")
+TEST_CASE("replicas on runners that don't answer don't count")
 {
     PlanBench bench(declaredEngine(1));
     bench.add("r1", {{"m1", 0, {}}}).add("r2", {}).work("m1", 0.05, 0.05);
@@ -682,10 +683,10 @@
     REQUIRE(orders.front().target == TargetId("r2"));
 }
 
-TEST_CASE("what has no copy and was never served weighs by what is asked for")
+TEST_CASE("a model that was never served counts with a default cost of its requests")
 {
-    // Load pattern: the only runner with a model is lost, and its requests go on coming. They are refused, so how long one takes is never
-    // learnt. Taken for nothing, the model gets no copy any more, and its callers are refused for good.
+    // Load pattern: the only runner with a model is lost while its requests continue. They are refused, so their cost is never learnt. If an unknown cost
+    // counted as 0, the model would get no replica and its requests would be refused permanently.
     const std::vector<ArtifactDemand> rates {
         {ArtifactName("lost"), 12, Duration(), 0}, {ArtifactName("long"), 1, Duration::millis(90), 0}, {ArtifactName("short"), 2, Duration::millis(30), 0}};
     const auto work = modelWork(rates, {rates[0]}, RequestCost());
@@ -701,10 +702,10 @@
     REQUIRE(loadsOf(bench.plan(), "m1") == 1);
 }
 
-TEST_CASE("a move first leaves the evicted replica to its streams, then unloads it, then loads the incoming model")
+TEST_CASE("a move first drains the evicted replica, then unloads it, then loads the incoming model")
 {
-    // Load pattern: demand has moved from m1 to m2 while streams of m1 run on for seconds. Unloaded at once, m1 would keep its runner from every other order
-    // until its last stream has ended; and the room, free at last, went to whatever was first to ask for it.
+    // Load pattern: demand has shifted from m1 to m2 while streams of m1 continue for seconds. If the unload were ordered at once, the runner would refuse
+    // all other orders until the last stream has ended, and the freed memory would go to whichever model asks for it first.
     PlanBench bench(declaredEngine(3));
     bench.add("r1", {{"m1", 0, {}}, {"m2", 0, {}}}).add("r2", {{"m1", 0, {}}, {"m3", 0, {}}}).work("m1", 0.05, 0.05).work("m2", 2, 2).work("m3", 0.05, 0.05);
     const auto begun = bench.wholePlan(100).begun;
@@ -714,7 +715,7 @@
     REQUIRE(begun.front().move.evicted == std::set<std::string> {"m1"});
     bench.input().moves[TargetId("r2")] = begun.front().move;
 
-    // Nothing is known yet, or streams run: no order, and no second move for the same want.
+    // Streams are unknown or still open: no order, and no second move for the same model.
     REQUIRE(bench.wholePlan(100.1).orders.empty());
     bench.input().drainingStreams[{TargetId("r2"), "m1"}] = 3;
     REQUIRE(bench.wholePlan(100.2).orders.empty());
@@ -728,19 +729,19 @@
     REQUIRE(unload.front().evictedFor == "m2");
 }
 
-TEST_CASE("a move whose streams don't end, or of which gateways don't report, goes on all the same")
+TEST_CASE("a move continues after a timeout if streams don't end or gateways don't report")
 {
     PlanBench bench(declaredEngine(3));
     bench.add("r1", {{"m1", 0, {}}, {"m2", 0, {}}}).add("r2", {{"m1", 0, {}}, {"m3", 0, {}}}).work("m2", 2, 2);
     bench.input().moves[TargetId("r2")] = bench.wholePlan(100).begun.front().move;
     REQUIRE(bench.wholePlan(101).orders.empty());
-    REQUIRE(bench.wholePlan(102).orders.size() == 1); // a gateway that says nothing is taken to have none
+    REQUIRE(bench.wholePlan(102).orders.size() == 1); // a gateway without a report counts as having no streams
     bench.input().drainingStreams[{TargetId("r2"), "m1"}] = 1;
     REQUIRE(bench.wholePlan(104).orders.empty());
     REQUIRE(bench.wholePlan(106).orders.size() == 1);
 }
 
-TEST_CASE("a move is kept through noise, and given up when it would do harm")
+TEST_CASE("a move continues despite noise in demand and is aborted when it would increase the lost work")
 {
     PlanBench bench(declaredEngine(3));
     bench.add("r1", {{"m1", 0, {}}, {"m2", 0, {}}}).add("r2", {{"m1", 0, {}}, {"m3", 0, {}}}).work("m2", 1.2, 1.2);
@@ -752,10 +753,10 @@
     REQUIRE(bench.wholePlan(101).aborted == std::vector<TargetId> {TargetId("r2")});
 }
 
-TEST_CASE("a runner that is loading gets no second load, though it has room and its last order is long ago")
+TEST_CASE("a runner that is loading gets no second load, even with free memory and long after the last order")
 {
-    // Load pattern: a load from the weight store takes six seconds, and a model without a copy waits meanwhile. The order would be refused, what is known of
-    // the runner given up, and with it the model that it is loading: the next loads there would be more than it holds, and it would crash.
+    // Load pattern: a load from the weight store takes six seconds while a model without a replica waits. A second load would be refused, and its refusal
+    // discards the known state of the runner including the model being loaded. The next loads would then exceed the runner's memory and crash it.
     PlanBench bench(declaredEngine(3));
     bench.add("r1", {}).work("m1", 0.5, 0.5).work("m2", 0.5, 0.5).work("m3", 0.1, 0.1);
     auto &book = bench.book(0);
@@ -768,7 +769,7 @@
     }
 }
 
-TEST_CASE("the last copy that serves isn't unloaded, though another is on its way")
+TEST_CASE("a drained replica isn't unloaded if it has become the last one")
 {
     // The other runner with the model has failed since the move began.
     PlanBench bench(declaredEngine(3));
@@ -781,7 +782,7 @@
     }
 }
 
-TEST_CASE("an adapter isn't loaded beside a copy that gives way")
+TEST_CASE("an adapter isn't loaded on a runner where its model is draining")
 {
     PlanBench bench(declaredEngine(2, 8));
     bench.add("r1", {{"m1", 0, {}}}).add("r2", {{"m1", 0, {}}}, 0.5);
@@ -791,7 +792,7 @@
     REQUIRE(planned->target == TargetId("r2"));
 }
 
-TEST_CASE("a runner that is still unloading is tried again, not asked for a report that is older than the order")
+TEST_CASE("a load refused by a runner that is still unloading is tried again without a report")
 {
     const auto engine = declaredEngine(3);
     auto book = knownBook(description("r1", {{"m1", 0, {}}, {"m2", 0, {}}}));
@@ -806,7 +807,7 @@
         REQUIRE_FALSE(book.mayOrder(load("m3"), engine, at(now + 0.05)));
         REQUIRE(book.mayOrder(load("m3"), engine, at(now + 0.09)));
     }
-    // But not for ever: then something else is wrong with what is known of it.
+    // The retries are limited: later refusals mean that the known state is wrong.
     auto later = book;
     later.ordered(load("m3"), Duration::seconds(1), at(2.5));
     later.refusedAsBusy(at(2.5));
@@ -818,10 +819,10 @@
     REQUIRE_FALSE(book.isKnown());
 }
 
-TEST_CASE("an adapter that is refused by a runner that was just unloading leads to a report")
+TEST_CASE("after an adapter load refused by a runner that was just unloading a report is needed")
 {
-    // The runner refuses because its count of orders is another: an adapter that gave way there is still in use, or a late order has taken effect. Were its
-    // refusal put down to the unload, the book would go on with a wrong list, and the next adapter ordered there would be one too many for its places.
+    // The runner refuses because its order count differs: an adapter to be evicted is still in use, or a late order has taken effect. If the refusal were
+    // attributed to the unload, the adapters known here would stay wrong, and the next adapter load would exceed the runner's adapter slots.
     const auto engine = declaredEngine(3, 8);
     auto book = knownBook(description("r1", {{"m1", 0, {}}, {"m2", 0, {}}}));
     book.ordered({false, "m1", ""}, Duration(), at(1));
@@ -834,9 +835,9 @@
     REQUIRE(book.needsReport(at(1.1)));
 }
 
-TEST_CASE("an adapter takes a free place, else that of the one that was not used for the longest time")
+TEST_CASE("an adapter takes a free slot, else that of the least recently used adapter")
 {
-    // Load pattern: more adapters are asked for in turn than runners have places for.
+    // Load pattern: more adapters are requested in turn than runners have slots for.
     PlanBench bench(declaredEngine(1, 9));
     bench.add("r1", {{"m1", 0, {"a1", "a2", "a3"}}});
     const TargetId runner("r1");
@@ -851,10 +852,10 @@
     REQUIRE(planned->order == RunnerOrder {false, "m1", "a2"});
 }
 
-TEST_CASE("a second copy of an adapter goes to another runner, and drives out none that was just used")
+TEST_CASE("a second replica of an adapter goes to another runner and evicts none that was just used")
 {
-    // Load pattern: half of the streams name an adapter, and one runner with a popular one gets more than it can do. The model's other copies
-    // have time; but what drives out an adapter in use only moves the wait to that one's callers.
+    // Load pattern: half of the streams name an adapter, and the runner with a popular one is overloaded while the model's other replicas have
+    // spare capacity. Evicting an adapter in use would only move the wait to the callers of that adapter.
     PlanBench bench(declaredEngine(1, 9));
     bench.add("r1", {{"m1", 0, {"a1"}}}, 0.9).add("r2", {{"m1", 0, {"a2"}}}, 0.8).add("r3", {{"m1", 0, {"a3"}}}, 0.1);
     const auto second = bench.place("m1", "a1", {});
@@ -873,7 +874,7 @@
     REQUIRE(full.place("m1", "a1", uses, Duration::seconds(4))->order == RunnerOrder {false, "m1", "a4"});
 }
 
-TEST_CASE("loads from the weight store keep to its pace, also over a change of who gives orders")
+TEST_CASE("loads from the weight store keep to its rate, also when the order lease changes hands")
 {
     LoadMeter meter;
     meter.setRate(1, Duration::seconds(5), 1);
@@ -891,7 +892,7 @@
 namespace
 {
 
-/// A fleet whose models outnumber what its runners hold, one round of planning after the other; loads take effect at once.
+/// A fleet with more models than its runners can hold. Runs planning rounds; loads and evictions take effect at once.
 class ScarceFleet
 {
 public:
@@ -934,18 +935,18 @@
         }
         return count;
     }
-    /// True if anything was evicted.
+    /// Runs one round. Returns whether anything was evicted.
     auto round(double now, bool isDemandKnown = true) -> bool
     {
         return !plan(now, isDemandKnown).begun.empty();
     }
-    /// Moves of one round that evict for a model without requests.
-    auto silentIncoming(double now) -> int
+    /// Runs one round. Returns the number of moves whose incoming model has no requests.
+    auto idleIncoming(double now) -> int
     {
         const auto made = plan(now, true);
         return static_cast<int>(std::count_if(made.begun.begin(), made.begun.end(), [&](const BegunMove &one) { return !m_work.contains(one.move.incoming); }));
     }
-    /// Loads and moves that one round begins.
+    /// Runs one round. Returns the number of loads and moves that it begins.
     auto changes(double now) -> std::size_t
     {
         const auto made = plan(now, true);
@@ -1011,9 +1012,9 @@
 
 } // namespace
 
-TEST_CASE("more models than slots: each model that is asked for gets a replica, in place of silent ones")
+TEST_CASE("with more models than fit, each model with requests gets a replica in place of idle ones")
 {
-    // Load pattern: 37 runners of three slots each, all of them taken by models that nobody asks for while others wait.
+    // Load pattern: 37 runners that hold three models each are filled with idle models while requests for other models wait.
     for (const int models : {111, 200, 333}) {
         ScarceFleet fleet(37, models);
         constexpr int Asked = 40;
@@ -1026,11 +1027,11 @@
         for (int i = 0; i < Asked; ++i) {
             CHECK(fleet.isHeld(models - i));
         }
-        CHECK(fleet.copies(models) >= 3); // the busy one, beside last replicas of silent ones
+        CHECK(fleet.copies(models) >= 3); // the busy one, in place of last replicas of idle ones
     }
 }
 
-TEST_CASE("where all models fit, the silent ones keep their replicas")
+TEST_CASE("where all models fit, idle ones keep their replicas")
 {
     ScarceFleet fleet(37, 60);
     for (int model = 1; model <= 20; ++model) {
@@ -1046,7 +1047,8 @@
 
 TEST_CASE("after a restart of all gateways nothing is evicted before demand is known")
 {
-    // Load pattern: a new lease holder has counted no arrival yet. Taken for no demand, the replicas of the busiest model went to silent ones.
+    // Load pattern: a new lease holder has counted no arrivals yet. If that counted as no demand, replicas of the busiest model would be evicted for idle
+    // models.
     ScarceFleet fleet(37, 150);
     CHECK_FALSE(fleet.round(100, false));
     fleet.work(149, 0.2);
@@ -1056,10 +1058,10 @@
     }
 }
 
-TEST_CASE("where not all models fit, an evicted silent model evicts no other in turn")
+TEST_CASE("where not all models fit, an evicted idle model doesn't evict another one in turn")
 {
-    // Load pattern: 111 slots, 120 models; nine without a replica are asked for, a few others are busy, the rest silent. Each silent model that was
-    // evicted came back in the same round in place of a busy model's replica: twice the loads, and fewer replicas where the requests were.
+    // Load pattern: 120 models and memory for 111. Nine models without a replica have requests, a few others are busy, the rest are idle. An evicted idle
+    // model was planned again in the same round in place of a busy model's replica: twice the loads, and fewer replicas of models with requests.
     ScarceFleet fleet(37, 120);
     constexpr int Busy = 8;
     constexpr int Missing = 9;
@@ -1070,7 +1072,7 @@
         fleet.work(120 - i, 0.2);
     }
     for (int step = 0; step < 20; ++step) {
-        CHECK(fleet.silentIncoming(100 + step * 0.1) == 0);
+        CHECK(fleet.idleIncoming(100 + step * 0.1) == 0);
     }
     for (int model = 1; model <= Busy; ++model) {
         CHECK(fleet.isHeld(model));
@@ -1080,9 +1082,9 @@
     }
 }
 
-TEST_CASE("models that are asked for and don't all fit take turns")
+TEST_CASE("models with requests that don't all fit are loaded in turn")
 {
-    // Load pattern: four runners of three slots, eighteen models with the same steady demand.
+    // Load pattern: four runners that hold three models each, and eighteen models with nearly the same steady demand.
     ScarceFleet fleet(4, 18);
     std::set<int> served;
     for (int model = 1; model <= 18; ++model) {
@@ -1102,9 +1104,10 @@
     }
 }
 
-TEST_CASE("one round of planning begins a bounded number of changes, and the next one goes on")
+TEST_CASE("a planning round begins a bounded number of changes, and the next rounds continue")
 {
-    // Load pattern: demand moves to sixty models at once on 180 runners. Planned in one round, the lease holder answers nothing for seconds.
+    // Load pattern: demand shifts to sixty models at once on 180 runners. If all changes were planned in one round, the lease holder would be unresponsive
+    // for seconds.
     ScarceFleet fleet(180, 200);
     for (int model = 101; model <= 160; ++model) {
         fleet.work(model, 2.5);
--- a/tests/unit_placement.cpp
+++ b/tests/unit_placement.cpp
@@ -41,7 +41,7 @@
     return RunnerState {.id = TargetId(id), .zone = zone, .service = Advisory, .memoryTotal = Bytes::gigabytes(80), .concurrency = 40};
 }
 
-/// Everything that the plan names is resident, as after a while without change.
+/// Makes exactly the artifacts that the plans name resident.
 auto settle(PlacementInput &input, const Plan &surge = {}) -> void
 {
     for (auto &one : input.runners) {
@@ -63,7 +63,7 @@
     return sum;
 }
 
-/// A random deployment that fits: 18 runners in four zones, 30 models, 120 adapters.
+/// A random deployment that fits into memory: 18 runners in four zones, 30 models, 120 adapters.
 struct RandomDeployment {
     Declarations set;
     PlacementInput input;
@@ -120,7 +120,7 @@
     REQUIRE(plan.contains(TargetId("r3"), sun));
 }
 
-TEST_CASE("a placed floor is not moved for nothing")
+TEST_CASE("floor copies aren't moved when demand changes")
 {
     RandomDeployment random(7);
     random.input.floor = planFloor(random.input, {}).plan;
@@ -132,7 +132,7 @@
 
 TEST_CASE("a floor copy moves make-before-break")
 {
-    // A runner leaves. Were its copy taken out of the plan before another one is resident, callers of the model would find none.
+    // A runner leaves. If its copy were removed from the row before another one is resident, the model would have no copy.
     Declarations set;
     const auto sun = addModel(set, "sun", 28);
     set.policy.floorZones = 1;
@@ -157,7 +157,7 @@
     REQUIRE_FALSE(composeFloorRow(step)->holders.contains(TargetId("r1")));
 }
 
-TEST_CASE("a burst wins a surge copy, a move that costs more than it brings doesn't happen")
+TEST_CASE("a burst gets a surge copy unless the move costs more than it gains")
 {
     Declarations set;
     const auto sun = addModel(set, "sun", 14);
@@ -179,7 +179,7 @@
     REQUIRE(expensiveMoves.plan(input, input.floor, at(2)).surge.isEmpty());
 }
 
-TEST_CASE("an adapter's surge copy brings its base along")
+TEST_CASE("a surge copy of an adapter includes its base")
 {
     Declarations set;
     const auto sun = addModel(set, "sun", 14);
@@ -196,7 +196,7 @@
     REQUIRE(surge.contains(TargetId("r2"), sun));
 }
 
-TEST_CASE("surge copies never overcommit and are steady under steady demand")
+TEST_CASE("surge copies never overcommit memory and settle under steady demand")
 {
     const auto seed = GENERATE(range(1U, 16U));
     RandomDeployment random(seed);
@@ -228,10 +228,10 @@
     REQUIRE(lastChange < Rounds / 2);
 }
 
-TEST_CASE("an artifact whose floor copies are gone for now gets a stand-in, however little it is asked for")
+TEST_CASE("an artifact whose floor copies are unavailable gets a surge copy even with little demand")
 {
-    // The only runner that holds a model crashes and comes back empty. Its model is rarely asked for, so that no demand speaks for a copy;
-    // still its next caller must find one.
+    // The only runner that holds a model crashes. The model is rarely requested, so demand alone doesn't justify another copy, but the next
+    // request must find one.
     Declarations set;
     const auto sun = addModel(set, "sun", 14);
     set.policy.floorZones = 1;
@@ -245,7 +245,7 @@
     REQUIRE(planner.plan(input, input.floor, at(1)).surge.contains(TargetId("r2"), sun));
 }
 
-TEST_CASE("loads are metered to what the weight store takes")
+TEST_CASE("loads are limited to the parallel loads of the weight store")
 {
     RandomDeployment random(3);
     random.input.floor = planFloor(random.input, {}).plan;
@@ -258,12 +258,12 @@
     for (int round = 0; round < 10; ++round) {
         planner.plan(random.input, random.input.floor, at(round));
     }
-    // Nothing was ever confirmed resident, so no more than the three may be under way; an adapter's copy may bring its base.
+    // No copy is ever confirmed resident, so only three loads may be pending. The copy of an adapter may add its base to them.
     REQUIRE(planner.surge().copies() > 0);
     REQUIRE(planner.surge().copies() <= 4);
 }
 
-TEST_CASE("load on demand has no floor and drops the least recently used")
+TEST_CASE("load on demand has no floor and evicts the least recently used models")
 {
     Declarations set;
     const PlacementOptions options {.strategy = PlacementStrategy::LoadOnDemand};
@@ -283,7 +283,7 @@
     REQUIRE(planner.surge().artifactsOn(TargetId("r1")) == std::vector {models[2], models[3]});
 }
 
-TEST_CASE("a plan survives its JSON form")
+TEST_CASE("a plan converted to JSON and back is unchanged")
 {
     RandomDeployment random(5);
     const auto plan = planFloor(random.input, {}).plan;
