--- a/src/gateway/copyuse.cpp
+++ b/src/gateway/copyuse.cpp
@@ -28,7 +28,7 @@
     return result;
 }
 
-auto CopyUse::held(const TargetId &target, const std::vector<ResidentModel> &models) -> void
+auto CopyUse::reportedResidency(const TargetId &target, const std::vector<ResidentModel> &models) -> void
 {
     bool isNew = false;
     std::erase_if(m_draining, [&](const CopyKey &copy) {
--- a/src/gateway/copyuse.h
+++ b/src/gateway/copyuse.h
@@ -39,7 +39,7 @@
 
     // Commands: where another gateway gives orders
     /// What a runner holds, as the one that gives orders has said.
-    auto held(const TargetId &target, const std::vector<ResidentModel> &models) -> void;
+    auto reportedResidency(const TargetId &target, const std::vector<ResidentModel> &models) -> void;
     auto targetGone(const TargetId &target) -> void;
     auto report() const -> void; ///< to be called regularly
 
--- a/src/gateway/demandexchange.cpp
+++ b/src/gateway/demandexchange.cpp
@@ -39,7 +39,7 @@
     return modelWork(m_demand.forecast(now, Duration()), m_demand.forecast(now, loadTime), cost);
 }
 
-auto DemandExchange::modelAsked(const std::string &model) -> void
+auto DemandExchange::modelRequested(const std::string &model) -> void
 {
     ++m_asked[model];
 }
@@ -50,17 +50,17 @@
     m_adapterUses[target.text() + "/" + model + "/" + adapter] = {target, model + "/" + adapter};
 }
 
-auto DemandExchange::missing(const MissingArtifact &wanted) -> void
+auto DemandExchange::artifactMissing(const MissingArtifact &wanted) -> void
 {
     if (m_parts.orders.mayOrder()) {
-        m_parts.orders.wanted(wanted.service, wanted.model, wanted.adapter);
+        m_parts.orders.artifactMissing(wanted.service, wanted.model, wanted.adapter);
         return;
     }
-    m_parts.orders.remember(wanted.service, wanted.model, wanted.adapter);
+    m_parts.orders.addPending(wanted.service, wanted.model, wanted.adapter);
     sendWanted(wanted, false);
 }
 
-auto DemandExchange::overloaded(const MissingArtifact &adapter) -> void
+auto DemandExchange::adapterOverloaded(const MissingArtifact &adapter) -> void
 {
     const auto now = m_parts.loop.now();
     auto &reportedAt = m_overloadedAt[adapter.model + "/" + adapter.adapter];
@@ -70,7 +70,7 @@
     reportedAt = now;
     m_parts.log.line("routing", "adapter-overloaded").add("model", adapter.model).add("adapter", adapter.adapter);
     if (m_parts.orders.mayOrder()) {
-        m_parts.orders.overloaded(adapter.service, adapter.model, adapter.adapter);
+        m_parts.orders.adapterOverloaded(adapter.service, adapter.model, adapter.adapter);
         return;
     }
     sendWanted(adapter, true);
@@ -123,7 +123,7 @@
 {
     for (const auto &asked : message.asked()) {
         m_demand.arrived(ArtifactName(asked.model()), m_parts.loop.now(), asked.requests());
-        m_parts.orders.modelAsked(asked.model());
+        m_parts.orders.modelRequested(asked.model());
     }
     for (const auto &use : message.uses()) {
         const auto slash = use.adapter().find('/');
@@ -137,11 +137,11 @@
     auto &orders = m_parts.orders;
     if (!orders.mayOrder()) {
         // Others send to the holder by the lease's row, where its name stands before it may give orders.
-        orders.remember(service, message.model(), message.adapter());
+        orders.addPending(service, message.model(), message.adapter());
     } else if (message.another()) {
-        orders.overloaded(service, message.model(), message.adapter());
+        orders.adapterOverloaded(service, message.model(), message.adapter());
     } else {
-        orders.wanted(service, message.model(), message.adapter());
+        orders.artifactMissing(service, message.model(), message.adapter());
     }
 }
 
@@ -152,7 +152,7 @@
         return;
     }
     m_announcedFence = fence;
-    for (const auto &missing : m_parts.orders.remembered()) {
+    for (const auto &missing : m_parts.orders.pendingArtifacts()) {
         sendWanted(missing, false);
     }
 }
--- a/src/gateway/demandexchange.h
+++ b/src/gateway/demandexchange.h
@@ -42,10 +42,10 @@
     auto work(const EngineDeclaration &engine, const RequestCost &cost) const -> std::map<std::string, ModelWork>;
 
     // Commands: this gateway's requests
-    auto modelAsked(const std::string &model) -> void; ///< also where no replica was found
+    auto modelRequested(const std::string &model) -> void; ///< also where no replica was found
     auto adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void;
-    auto missing(const MissingArtifact &wanted) -> void; ///< a request waits for it
-    auto overloaded(const MissingArtifact &adapter) -> void; ///< the only runner with it is too busy
+    auto artifactMissing(const MissingArtifact &wanted) -> void; ///< a request waits for it
+    auto adapterOverloaded(const MissingArtifact &adapter) -> void; ///< the only runner with it is too busy
     auto advance() -> void; ///< call with each digest: reports what has come since
 
     // Commands: other gateways
--- a/src/gateway/forwardedrequest.cpp
+++ b/src/gateway/forwardedrequest.cpp
@@ -60,7 +60,7 @@
     m_request.adapter = m_traits.adapter;
     m_request.prompt = promptChains(m_traits.model + "/" + m_traits.adapter, m_traits.promptParts);
     m_request.promptTokens = m_traits.promptTokens;
-    m_request.outputTokens = m_traits.mostOutputTokens;
+    m_request.outputTokens = m_traits.maxOutputTokens;
     m_request.band = m_route.band;
     m_request.pauseGoal = m_route.pauseGoal;
 }
@@ -75,7 +75,7 @@
 
 auto ForwardedRequest::start() -> void
 {
-    const auto budget = m_traits.patience ? std::min(*m_traits.patience, m_route.timeout) : m_route.timeout;
+    const auto budget = m_traits.timeBudget ? std::min(*m_traits.timeBudget, m_route.timeout) : m_route.timeout;
     m_deadline = m_exchange->startedAt() + budget;
     m_exchange->onGone = [this] {
         onGone();
@@ -216,7 +216,7 @@
         }
     }
     ForwardTraits traits;
-    traits.patience = m_deadline - now();
+    traits.timeBudget = m_deadline - now();
     traits.target = choice.target;
     traits.urgency = static_cast<int>(m_request.band) * UrgencyStep + (m_isDemoted ? DemotedStep : 0);
     traits.lastEventId = m_events ? m_events->lastId() : std::string();
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -53,7 +53,7 @@
 
 auto Forwarder::Private::admit(const CallerExchangePtr &exchange, const RequestTraits &traits) -> std::optional<AccountGrant>
 {
-    const auto tokens = static_cast<std::int64_t>(traits.promptTokens) + traits.mostOutputTokens;
+    const auto tokens = static_cast<std::int64_t>(traits.promptTokens) + traits.maxOutputTokens;
     auto decision = parts.access.decide(traits.authorization, tokens, parts.loop.now());
     if (!decision.grant) {
         reject(exchange, traits, decision);
@@ -136,7 +136,7 @@
         d->answer(exchange, traits, HttpStatus::Unavailable, DefaultRetryAfter, "no-traffic-declared");
         return;
     }
-    if (traits.attempt.isEmpty() || traits.isPatienceMalformed) {
+    if (traits.attempt.isEmpty() || traits.isTimeBudgetMalformed) {
         d->answer(exchange, traits, HttpStatus::BadRequest, std::nullopt, traits.attempt.isEmpty() ? "no-attempt-id" : "bad-deadline");
         return;
     }
--- a/src/gateway/freshnesstask.cpp
+++ b/src/gateway/freshnesstask.cpp
@@ -94,7 +94,7 @@
         return;
     }
     isReading = true;
-    parts.store.read(StoreTable::Operators, settings.row, [this, readAt = parts.loop.now()](const StoreAnswer &answer) {
+    parts.store.read(StoreTable::Declarations, settings.declarationsKey, [this, readAt = parts.loop.now()](const StoreAnswer &answer) {
         isReading = false;
         onRead(answer, readAt);
     });
@@ -103,13 +103,13 @@
 auto FreshnessTask::Private::onRead(const StoreAnswer &answer, TimePoint readAt) -> void
 {
     const auto &rows = answer.page.rows;
-    if (answer.end != StoreEnd::Done || rows.empty() || rows.front().key != settings.row) {
+    if (answer.outcome != StoreOutcome::Done || rows.empty() || rows.front().key != settings.declarationsKey) {
         return;
     }
     parts.access.addProof({rows.front().version, readAt});
     if (rows.front().version > parts.access.knownVersion()) {
         parts.log.line("accounts", "declarations-changed").add("version", rows.front().version.value());
-        parts.follower.receive(StoreTable::Operators, rows);
+        parts.follower.mergeRows(StoreTable::Declarations, rows);
     }
 }
 
@@ -124,7 +124,7 @@
 
 auto FreshnessTask::Private::askPeers(bool isUrgent) -> void
 {
-    auto chosen = chooseFrom(parts.follower.trustedWatchers(), 1);
+    auto chosen = chooseFrom(parts.follower.liveWatchers(), 1);
     if (chosen.empty() || isUrgent) {
         const auto live = parts.peers.live();
         const auto others = chooseFrom({live.begin(), live.end()}, PeersAtOnce);
@@ -195,7 +195,7 @@
     if (version > d->parts.access.knownVersion()) {
         // Rows that were passed on may have been lost with a connection.
         d->parts.log.line("accounts", "declarations-behind").add("peer", from).add("version", version.value());
-        d->parts.follower.requestFrom(from, StoreTable::Operators);
+        d->parts.follower.requestFrom(from, StoreTable::Declarations);
     }
 }
 
--- a/src/gateway/freshnesstask.h
+++ b/src/gateway/freshnesstask.h
@@ -32,7 +32,7 @@
 };
 
 struct FreshnessSettings {
-    std::string row; ///< key of the declarations' row
+    std::string declarationsKey; ///< key of the declarations' row
     Duration proofLifetime; ///< for as long a proof is of use
     std::uint64_t seed = 1; ///< of the choice of peers
 };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -233,10 +233,10 @@
         // Clients are spread over the gateways: the others have about as many as this one.
         return static_cast<double>(dispatcher.ownRunning(copy.first, copy.second)) * (peers->liveCount() + 1);
     };
-    hooks.streams = [this] {
+    hooks.drainingStreams = [this] {
         return copyUse->streams(peers->live());
     };
-    hooks.onHolder = [this] {
+    hooks.onLeaseAcquired = [this] {
         sendDigest();
     };
     OrderTaskSettings orderSettings;
@@ -269,7 +269,7 @@
 auto Gateway::Private::onTrouble() -> void
 {
     storeLostAt = loop.now();
-    targets->storeLost();
+    targets->storeUnreachable();
 }
 
 auto Gateway::Private::buildStore() -> void
@@ -277,11 +277,11 @@
     RegistrationSettings self;
     self.id = settings.process.id;
     self.zone = settings.process.zone;
-    self.peers = settings.listen.peers;
+    self.peerEndpoint = settings.listen.peers;
     self.incarnation = incarnation;
     self.processorShare = settings.gateway.processorShare;
     RegistrationHooks registrationHooks;
-    registrationHooks.onGateways = [this](const std::vector<ListedHost> &hosts) {
+    registrationHooks.onGatewaysChanged = [this](const std::vector<ListedHost> &hosts) {
         gateways = hosts;
         peers->setHosts(hosts);
         peers->setSilentAfter(std::max(GatewayPeerSettings().silentAfter, digestPeriod(static_cast<int>(hosts.size())) * SilentDigests));
@@ -307,17 +307,17 @@
     hooks.onRows = [this](StoreTable table, const std::vector<StoredRow> &rows) {
         onRows(table, rows);
     };
-    hooks.onTrouble = [this] {
+    hooks.onUnreachable = [this] {
         onTrouble();
     };
     StoreFollowerSettings followerSettings;
     followerSettings.id = settings.process.id;
     follower = std::make_unique<StoreFollower>(loop, store, log, *peers, followerSettings, std::move(hooks));
-    store.onTrouble = [this] {
+    store.onUnreachable = [this] {
         onTrouble();
     };
     FreshnessSettings freshnessSettings;
-    freshnessSettings.row = protocol.store.trafficKey;
+    freshnessSettings.declarationsKey = protocol.store.trafficKey;
     freshnessSettings.proofLifetime = usefulProofLifetime();
     freshnessSettings.seed = incarnation ^ stableHash(settings.process.id);
     freshness = std::make_unique<FreshnessTask>(FreshnessParts {loop, log, metrics, *peers, store, *follower, access}, freshnessSettings);
@@ -326,15 +326,15 @@
 auto Gateway::Private::onRows(StoreTable table, const std::vector<StoredRow> &rows) -> void
 {
     switch (table) {
-    case StoreTable::Operators:
+    case StoreTable::Declarations:
         adoptRows(rows);
         break;
     case StoreTable::Targets:
-        targets->takeRows(rows);
+        targets->applyRows(rows);
         forwarder->pump();
         break;
-    case StoreTable::Entries:
-        registration->take(rows);
+    case StoreTable::Gateways:
+        registration->applyRows(rows);
         break;
     case StoreTable::Leases:
         break; // not followed
@@ -392,17 +392,17 @@
         return follower->isCurrent() || loop.now() - storeLostAt < CurrentWithin;
     };
     hooks.onMissing = [this](const ServiceName &service, const std::string &model, const std::string &adapter) {
-        demand->missing({service, model, adapter});
+        demand->artifactMissing({service, model, adapter});
     };
     hooks.onOverloaded = [this](const ServiceName &service, const std::string &model, const std::string &adapter) {
-        demand->overloaded({service, model, adapter});
+        demand->adapterOverloaded({service, model, adapter});
     };
     hooks.onMisdirected = [this](const TargetId &target, const TargetId &found, const std::string &model, const std::string &adapter) {
         onMisdirected(target, found, model, adapter);
     };
     hooks.onRequest = [this](const DispatchRequest &request) {
         if (!request.model.empty()) {
-            demand->modelAsked(request.model);
+            demand->modelRequested(request.model);
         }
     };
     hooks.onAdmitted = [this](const AccountName &account) {
@@ -454,7 +454,7 @@
         std::erase_if(models, [&](const ResidentModel &held) { return held.name == model; });
     }
     dispatcher.targetHolds(target, models);
-    demand->missing({about->service, model, adapter});
+    demand->artifactMissing({about->service, model, adapter});
 }
 
 auto Gateway::Private::work(const ServiceName &service) const -> std::map<std::string, ModelWork>
@@ -516,7 +516,7 @@
     if (orders->mayOrder() || !targets->reportedResidency(target, holding.born_ms(), models)) {
         return;
     }
-    copyUse->held(target, models);
+    copyUse->reportedResidency(target, models);
     forwarder->pump();
 }
 
@@ -579,7 +579,7 @@
     digest->set_last_holder(lease.holder().text());
     digest->set_last_holder_sequence(lease.lastHolderSequence());
     follower->writeDigest(*digest);
-    usage->write(*digest->mutable_usage());
+    usage->writeReport(*digest->mutable_usage());
     lease.digestSent(digests, loop.now());
     peers->sendAll(frame);
 }
--- a/src/gateway/loadexchange.cpp
+++ b/src/gateway/loadexchange.cpp
@@ -47,7 +47,7 @@
     }
     auto isDirect() const -> bool
     {
-        return others <= settings.mostDirect;
+        return others <= settings.maxDirectPeers;
     }
     auto tick() -> void;
     auto report() -> void;
--- a/src/gateway/loadexchange.h
+++ b/src/gateway/loadexchange.h
@@ -37,7 +37,7 @@
 struct LoadExchangeSettings {
     std::string id; ///< of this gateway
     EntryId self; ///< this start of it
-    int mostDirect = 40; ///< other gateways up to which each sends its load to each
+    int maxDirectPeers = 40; ///< other gateways up to which each sends its load to each
     Duration period = Duration::millis(50); ///< of reports to the keeper, and of sums from it
 };
 
--- a/src/gateway/ordertask.cpp
+++ b/src/gateway/ordertask.cpp
@@ -208,7 +208,7 @@
     if (step == LeaseStep::Read) {
         lease.readStarted(now());
         parts.store.read(StoreTable::Leases, LeaseKey, [this](const StoreAnswer &answer) {
-            if (answer.end != StoreEnd::Done) {
+            if (answer.outcome != StoreOutcome::Done) {
                 lease.readFailed(now());
                 return;
             }
@@ -222,9 +222,9 @@
     } else if (step == LeaseStep::Write) {
         const auto write = lease.writeStarted(now());
         parts.store.change(StoreTable::Leases, {{LeaseKey, write.expected, write.value}}, [this](const StoreAnswer &answer) {
-            if (answer.end == StoreEnd::Done) {
+            if (answer.outcome == StoreOutcome::Done) {
                 lease.writeCommitted(answer.version, now());
-            } else if (answer.end == StoreEnd::Unclear) {
+            } else if (answer.outcome == StoreOutcome::Unclear) {
                 lease.writeOutcomeUnknown(now());
             } else {
                 lease.writeRefused(now());
@@ -250,7 +250,7 @@
         for (auto &[service, meter] : meters) {
             meter.reset(now());
         }
-        hooks.onHolder();
+        hooks.onLeaseAcquired();
     } else {
         for (auto &[id, book] : books) {
             book.invalidate(now());
@@ -351,7 +351,7 @@
     made.missingSince = asked.missingSince(service);
     made.lastRequestAt = asked.lastRequestAt();
     made.isDemandKnown = asked.isKnown(now());
-    made.drainingStreams = hooks.streams();
+    made.drainingStreams = hooks.drainingStreams();
     made.estimatedStreams = hooks.estimatedStreams;
     return made;
 }
@@ -590,7 +590,7 @@
     if (planned.order.isLoad && planned.order.adapter.empty() && planned.source == WeightSource::Store) {
         meters[service].began(now());
     }
-    OrderText text;
+    OrderRequest text;
     text.isLoad = planned.order.isLoad;
     text.model = planned.order.model;
     text.adapter = planned.order.adapter;
@@ -716,12 +716,12 @@
     std::erase_if(d->uses, [&](const auto &use) { return use.first.first == target; });
 }
 
-auto OrderTask::remember(const ServiceName &service, const std::string &model, const std::string &adapter) -> void
+auto OrderTask::addPending(const ServiceName &service, const std::string &model, const std::string &adapter) -> void
 {
     d->pending[{service, model, adapter}].at = d->now();
 }
 
-auto OrderTask::remembered() const -> std::vector<MissingArtifact>
+auto OrderTask::pendingArtifacts() const -> std::vector<MissingArtifact>
 {
     std::vector<MissingArtifact> list;
     for (const auto &[key, request] : d->pending) {
@@ -731,7 +731,7 @@
     return list;
 }
 
-auto OrderTask::wanted(const ServiceName &service, const std::string &model, const std::string &adapter) -> void
+auto OrderTask::artifactMissing(const ServiceName &service, const std::string &model, const std::string &adapter) -> void
 {
     for (auto &[id, book] : d->books) {
         const auto *held = book.description().model(model);
@@ -742,11 +742,11 @@
             d->publishResidency(book);
         }
     }
-    remember(service, model, adapter);
+    addPending(service, model, adapter);
     d->servePendingSoon();
 }
 
-auto OrderTask::overloaded(const ServiceName &service, const std::string &model, const std::string &adapter) -> void
+auto OrderTask::adapterOverloaded(const ServiceName &service, const std::string &model, const std::string &adapter) -> void
 {
     auto &request = d->pending[{service, model, adapter}];
     request.at = d->now();
@@ -754,7 +754,7 @@
     d->servePendingSoon();
 }
 
-auto OrderTask::modelAsked(const std::string &model) -> void
+auto OrderTask::modelRequested(const std::string &model) -> void
 {
     d->asked.modelRequested(model, d->now());
 }
--- a/src/gateway/ordertask.h
+++ b/src/gateway/ordertask.h
@@ -38,12 +38,12 @@
     std::function<double(const TargetId &target)> load; ///< the share of its slots in use
     std::function<bool(const TargetId &target)> isFailing; ///< requests don't get through to it
     std::function<void(const std::map<TargetId, CopyMove> &moves)> onMoves; ///< those under way have changed
-    std::function<std::map<CopyKey, int>()> streams; ///< under way at draining replicas, as all gateways reported
+    std::function<std::map<CopyKey, int>()> drainingStreams; ///< under way at draining replicas, as all gateways reported
     std::function<double(const CopyKey &copy)> estimatedStreams; ///< under way at any copy
     /// What a runner holds has changed; known here before its row says so.
     std::function<void(const TargetDescription &target)> onResidency;
     /// This gateway may give orders from now on: others are to be notified at once, as they send their pending requests only then.
-    std::function<void()> onHolder;
+    std::function<void()> onLeaseAcquired;
 };
 
 struct OrderTaskSettings {
@@ -80,7 +80,7 @@
     auto mayOrder() const -> bool;
     auto lease() const -> const OrderLease &;
 
-    auto remembered() const -> std::vector<MissingArtifact>; ///< what requests waited for within the last moments
+    auto pendingArtifacts() const -> std::vector<MissingArtifact>; ///< what requests waited for within the last moments
 
     // Commands
     auto lease() -> OrderLease &; ///< for what other gateways say
@@ -90,13 +90,13 @@
     auto targetSeen(const TargetDescription &target) -> void;
     auto targetGone(const TargetId &target) -> void;
     /// A request waits for a model or an adapter, and another gateway gives orders, or none yet: kept for the next holder.
-    auto remember(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
+    auto addPending(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
     /// Likewise, and this gateway gives the orders.
-    auto wanted(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
+    auto artifactMissing(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
     /// The only runner with an adapter is too busy to answer a request for it in time: it is loaded on a second one.
-    auto overloaded(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
+    auto adapterOverloaded(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
     auto adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void;
-    auto modelAsked(const std::string &model) -> void; ///< requests for it have come, here or at another gateway
+    auto modelRequested(const std::string &model) -> void; ///< requests for it have come, here or at another gateway
     /// What runners hold, as far as it is known here: for gateways that have just come up.
     auto residencies() const -> std::vector<TargetDescription>;
     /// No orders from here on: this process stops.
--- a/src/gateway/pooledcall.cpp
+++ b/src/gateway/pooledcall.cpp
@@ -3,7 +3,7 @@
 namespace KingCup
 {
 
-auto collectingCall(const Endpoint &server, CallText text, const std::shared_ptr<CollectedAnswer> &into) -> PooledCall
+auto collectingCall(const Endpoint &server, EncodedCall text, const std::shared_ptr<CollectedAnswer> &into) -> PooledCall
 {
     PooledCall call;
     call.server = server;
--- a/src/gateway/pooledcall.h
+++ b/src/gateway/pooledcall.h
@@ -17,6 +17,6 @@
 };
 
 /// The call, but for its onEnd; its answer is gathered in `into`.
-auto collectingCall(const Endpoint &server, CallText text, const std::shared_ptr<CollectedAnswer> &into) -> PooledCall;
+auto collectingCall(const Endpoint &server, EncodedCall text, const std::shared_ptr<CollectedAnswer> &into) -> PooledCall;
 
 } // namespace KingCup
--- a/src/gateway/protocol.h
+++ b/src/gateway/protocol.h
@@ -33,12 +33,12 @@
 
 struct RequestTraits {
     AttemptId attempt; ///< the client's id of this try; empty: none given
-    std::optional<Duration> patience; ///< how long the client waits, from its sending; nothing: not said, or not readable
-    bool isPatienceMalformed = false;
+    std::optional<Duration> timeBudget; ///< how long the client waits, from its sending; nothing: not said, or not readable
+    bool isTimeBudgetMalformed = false;
     std::string model; ///< empty: the request needs none
     std::string adapter; ///< of that model; empty: none
     int promptTokens = 0;
-    int mostOutputTokens = 0;
+    int maxOutputTokens = 0;
     std::vector<PromptPart> promptParts; ///< in the prompt's order; the last is the request's or its session's own
     std::string lastEventId; ///< a stream that is to go on after this event; empty: from its start
     std::optional<std::string> authorization; ///< how the request presents its key; empty: in more than one way
@@ -46,7 +46,7 @@
 
 /// What the entry adds for the target.
 struct ForwardTraits {
-    Duration patience; ///< what is left of it
+    Duration timeBudget; ///< what is left of it
     TargetId target; ///< any other target at that address must refuse
     std::optional<int> urgency; ///< 0 to 9, 0 first
     std::string lastEventId; ///< replaces the client's; empty: none
@@ -81,7 +81,7 @@
 };
 
 /// A call to the store or a runner, ready to be sent.
-struct CallText {
+struct EncodedCall {
     std::string method;
     std::string target; ///< path and query
     HttpHeaders headers;
@@ -90,24 +90,24 @@
 
 /// The tables of the store that matter to an entry.
 enum class StoreTable {
-    Operators, ///< the operators' documents; read only
+    Declarations, ///< the operators' documents; read only
     Targets, ///< one row for each target; read only
-    Entries, ///< our own: one row for each entry
+    Gateways, ///< our own: one row for each entry
     Leases, ///< our own; not watched: only who wants a lease looks at it
 };
 
 struct StoreFormat {
-    std::function<CallText(StoreTable table, const std::string &from)> readCall; ///< rows with keys from `from` on
-    std::function<CallText(StoreTable table, RowVersion after, Duration wait)> watchCall;
-    std::function<CallText(StoreTable table, const std::vector<StoreChange> &changes)> changeCall;
+    std::function<EncodedCall(StoreTable table, const std::string &from)> readCall; ///< rows with keys from `from` on
+    std::function<EncodedCall(StoreTable table, RowVersion after, Duration wait)> watchCall;
+    std::function<EncodedCall(StoreTable table, const std::vector<StoreChange> &changes)> changeCall;
     std::function<std::optional<StorePage>(const std::string &body)> decodePage; ///< nothing: unreadable
-    std::function<std::optional<RowVersion>(const std::string &body)> decodeChanged; ///< the version that the written rows have
+    std::function<std::optional<RowVersion>(const std::string &body)> decodeChangeVersion; ///< the version that the written rows have
     std::string trafficKey; ///< the row of StoreTable::Operators that holds the traffic
 };
 
 // [SECTION] Orders
 
-struct OrderText {
+struct OrderRequest {
     bool isLoad = true; ///< else an unload
     std::string model;
     std::string adapter; ///< empty: the model itself
@@ -142,9 +142,9 @@
     /// Nothing: the row names no target to use.
     std::function<std::optional<TargetDescription>(const std::string &key, const std::string &document)> decodeTarget;
 
-    CallText reportCall; ///< asks a runner for its report
+    EncodedCall reportCall; ///< asks a runner for its report
     std::function<std::optional<RunnerReport>(const std::string &body)> decodeReport;
-    std::function<CallText(const OrderText &order)> orderCall;
+    std::function<EncodedCall(const OrderRequest &order)> orderCall;
     std::function<OrderVerdict(int status)> readOrderAnswer;
 
     StoreFormat store;
--- a/src/gateway/registration.cpp
+++ b/src/gateway/registration.cpp
@@ -14,7 +14,7 @@
 
 auto rowText(const RegistrationSettings &settings) -> std::string
 {
-    return dumpJson({{"peers", toString(settings.peers)}, {"zone", settings.zone.text()}, {"processor", settings.processorShare}});
+    return dumpJson({{"peers", toString(settings.peerEndpoint)}, {"zone", settings.zone.text()}, {"processor", settings.processorShare}});
 }
 
 } // namespace
@@ -37,12 +37,12 @@
         , hooks(std::move(tell))
     {
     }
-    auto take(const StoredRow &row) -> void;
+    auto applyRow(const StoredRow &row) -> void;
     auto publish() -> void;
     auto ensureOwnRow() -> void;
 };
 
-auto Registration::Private::take(const StoredRow &row) -> void
+auto Registration::Private::applyRow(const StoredRow &row) -> void
 {
     if (row.isRemoved) {
         hosts.erase(row.key);
@@ -70,7 +70,7 @@
     for (const auto &[id, host] : hosts) {
         list.push_back(host);
     }
-    hooks.onGateways(list);
+    hooks.onGatewaysChanged(list);
     ensureOwnRow();
 }
 
@@ -78,12 +78,12 @@
 auto Registration::Private::ensureOwnRow() -> void
 {
     const auto own = hosts.find(settings.id);
-    if (isWriting || (own != hosts.end() && own->second.endpoint == settings.peers)) {
+    if (isWriting || (own != hosts.end() && own->second.endpoint == settings.peerEndpoint)) {
         return;
     }
     isWriting = true;
-    store.change(StoreTable::Entries, {{settings.id, std::nullopt, rowText(settings)}}, [this](const StoreAnswer &answer) {
-        log.line("peers", "registered").add("end", toString(answer.end));
+    store.change(StoreTable::Gateways, {{settings.id, std::nullopt, rowText(settings)}}, [this](const StoreAnswer &answer) {
+        log.line("peers", "registered").add("end", toString(answer.outcome));
         // The watch shows the row; if it doesn't, the write is made again.
         again = loop.after(WritePause, [this] {
             isWriting = false;
@@ -99,10 +99,10 @@
 
 Registration::~Registration() = default;
 
-auto Registration::take(const std::vector<StoredRow> &rows) -> void
+auto Registration::applyRows(const std::vector<StoredRow> &rows) -> void
 {
     for (const auto &row : rows) {
-        d->take(row);
+        d->applyRow(row);
     }
     d->publish();
 }
--- a/src/gateway/registration.h
+++ b/src/gateway/registration.h
@@ -15,13 +15,13 @@
 struct RegistrationSettings {
     std::string id;
     ZoneName zone;
-    Endpoint peers; ///< where it listens for the others
+    Endpoint peerEndpoint; ///< where it listens for the others
     std::uint64_t incarnation = 0;
     double processorShare = 1; ///< cores that are this gateway's own
 };
 
 struct RegistrationHooks {
-    std::function<void(const std::vector<ListedHost> &hosts)> onGateways; ///< all that are registered, this one included
+    std::function<void(const std::vector<ListedHost> &hosts)> onGatewaysChanged; ///< all that are registered, this one included
 };
 
 class Registration
@@ -31,7 +31,7 @@
     ~Registration();
 
     /// Rows of gateways that changed, or are gone.
-    auto take(const std::vector<StoredRow> &rows) -> void;
+    auto applyRows(const std::vector<StoredRow> &rows) -> void;
 
     struct Private;
 
--- a/src/gateway/runnercalls.cpp
+++ b/src/gateway/runnercalls.cpp
@@ -25,7 +25,7 @@
 {
 }
 
-auto RunnerCalls::start(const Endpoint &runner, CallText text, const Done &done) -> void
+auto RunnerCalls::start(const Endpoint &runner, EncodedCall text, const Done &done) -> void
 {
     auto state = std::make_shared<RunnerCall>();
     auto pooled = collectingCall(runner, std::move(text), state);
--- a/src/gateway/runnercalls.h
+++ b/src/gateway/runnercalls.h
@@ -21,7 +21,7 @@
 
     RunnerCalls(EventLoop &loop, HttpPool &pool, Duration timeout);
 
-    auto start(const Endpoint &runner, CallText text, const Done &done) -> void;
+    auto start(const Endpoint &runner, EncodedCall text, const Done &done) -> void;
 
 private:
     EventLoop &m_loop;
--- a/src/gateway/storeclient.cpp
+++ b/src/gateway/storeclient.cpp
@@ -19,18 +19,18 @@
 
 } // namespace
 
-auto toString(StoreEnd end) -> const char *
+auto toString(StoreOutcome end) -> const char *
 {
     switch (end) {
-    case StoreEnd::Done:
+    case StoreOutcome::Done:
         return "done";
-    case StoreEnd::Conflict:
+    case StoreOutcome::Conflict:
         return "conflict";
-    case StoreEnd::HistoryLost:
+    case StoreOutcome::HistoryLost:
         return "history-lost";
-    case StoreEnd::Refused:
+    case StoreOutcome::Refused:
         return "refused";
-    case StoreEnd::Unclear:
+    case StoreOutcome::Unclear:
         return "unclear";
     }
     return "?";
@@ -46,9 +46,9 @@
     std::uint64_t calls = 0;
     TimePoint lastAnswerAt;
     bool isReached = true;
-    std::function<void()> *onTrouble = nullptr;
+    std::function<void()> *onUnreachable = nullptr;
 
-    auto noteEnd(StoreEnd end) -> void;
+    auto noteEnd(StoreOutcome end) -> void;
 
     using Decode = std::function<bool(const std::string &body, StoreAnswer &answer)>;
 
@@ -59,7 +59,7 @@
         , options(std::move(clientOptions))
     {
     }
-    auto call(CallText text, Duration timeout, Decode decode, Done done) -> void;
+    auto call(EncodedCall text, Duration timeout, Decode decode, Done done) -> void;
 };
 
 namespace
@@ -81,23 +81,24 @@
     }
 };
 
-auto endOfStatus(int status) -> StoreEnd
+auto endOfStatus(int status) -> StoreOutcome
 {
     if (status == HttpStatus::Ok) {
-        return StoreEnd::Done;
+        return StoreOutcome::Done;
     }
     if (status == HttpStatus::PreconditionFailed) {
-        return StoreEnd::Conflict;
+        return StoreOutcome::Conflict;
     }
     if (status == HttpStatus::Gone) {
-        return StoreEnd::HistoryLost;
+        return StoreOutcome::HistoryLost;
     }
-    return status == HttpStatus::Unavailable || (status >= FirstClientError && status < HttpStatus::Unavailable) ? StoreEnd::Refused : StoreEnd::Unclear;
+    return status == HttpStatus::Unavailable || (status >= FirstClientError && status < HttpStatus::Unavailable) ? StoreOutcome::Refused
+                                                                                                                 : StoreOutcome::Unclear;
 }
 
 } // namespace
 
-auto StoreClient::Private::call(CallText text, Duration timeout, Decode decode, Done done) -> void
+auto StoreClient::Private::call(EncodedCall text, Duration timeout, Decode decode, Done done) -> void
 {
     ++calls;
     auto state = std::make_shared<StoreCall>();
@@ -106,16 +107,16 @@
     pooled.onEnd = [weak = weak_from_this(), state, decode = std::move(decode)](const PooledEnd &end) {
         StoreAnswer answer;
         if (end.end == CallEnd::Complete) {
-            answer.end = endOfStatus(state->status);
+            answer.outcome = endOfStatus(state->status);
 
-            if (answer.end == StoreEnd::Done && !decode(state->body, answer)) {
-                answer.end = StoreEnd::Unclear;
+            if (answer.outcome == StoreOutcome::Done && !decode(state->body, answer)) {
+                answer.outcome = StoreOutcome::Unclear;
             }
         } else {
-            answer.end = end.end == CallEnd::NotSent ? StoreEnd::Refused : StoreEnd::Unclear;
+            answer.outcome = end.end == CallEnd::NotSent ? StoreOutcome::Refused : StoreOutcome::Unclear;
         }
         if (const auto self = weak.lock()) {
-            self->noteEnd(answer.end);
+            self->noteEnd(answer.outcome);
         }
         state->finish(answer);
     };
@@ -124,34 +125,34 @@
             state->handle->cancel();
         }
         if (const auto self = weak.lock()) {
-            self->noteEnd(StoreEnd::Unclear);
+            self->noteEnd(StoreOutcome::Unclear);
         }
         state->finish({});
     });
     state->handle = pool.start(std::move(pooled));
 }
 
-auto StoreClient::Private::noteEnd(StoreEnd end) -> void
+auto StoreClient::Private::noteEnd(StoreOutcome end) -> void
 {
-    const bool wasReached = std::exchange(isReached, end != StoreEnd::Refused && end != StoreEnd::Unclear);
+    const bool wasReached = std::exchange(isReached, end != StoreOutcome::Refused && end != StoreOutcome::Unclear);
     if (isReached) {
         lastAnswerAt = loop.now();
     }
     // Also the moment of its return counts: rows that lapsed meanwhile come back only after it.
-    if ((!isReached || !wasReached) && onTrouble != nullptr && *onTrouble) {
-        (*onTrouble)();
+    if ((!isReached || !wasReached) && onUnreachable != nullptr && *onUnreachable) {
+        (*onUnreachable)();
     }
 }
 
 StoreClient::StoreClient(EventLoop &loop, HttpPool &pool, const StoreFormat &format, StoreClientOptions options)
     : d(std::make_shared<Private>(loop, pool, format, std::move(options)))
 {
-    d->onTrouble = &onTrouble;
+    d->onUnreachable = &onUnreachable;
 }
 
 StoreClient::~StoreClient()
 {
-    d->onTrouble = nullptr;
+    d->onUnreachable = nullptr;
 }
 
 auto StoreClient::calls() const -> std::uint64_t
@@ -198,7 +199,7 @@
 auto StoreClient::change(StoreTable table, const std::vector<StoreChange> &changes, Done done) -> void
 {
     const auto decode = [&format = d->format](const std::string &body, StoreAnswer &answer) {
-        const auto version = format.decodeChanged(body);
+        const auto version = format.decodeChangeVersion(body);
         answer.version = version.value_or(RowVersion());
         return version.has_value();
     };
@@ -242,7 +243,7 @@
     auto watch() -> void;
     auto onChanges(const StoreAnswer &answer) -> void;
     auto setReached(bool reached) -> void;
-    auto retry(StoreEnd why) -> void;
+    auto retry(StoreOutcome why) -> void;
     template<typename Handler>
     auto guarded(Handler handler)
     {
@@ -274,9 +275,9 @@
 
 auto TableWatch::Private::onPage(const StoreAnswer &answer) -> void
 {
-    if (answer.end != StoreEnd::Done) {
+    if (answer.outcome != StoreOutcome::Done) {
         isLoaded = false;
-        retry(answer.end);
+        retry(answer.outcome);
         return;
     }
     setReached(true);
@@ -297,18 +298,20 @@
 
 auto TableWatch::Private::watch() -> void
 {
-    client.watch(table, version, isReached ? options.wait : options.probe, guarded([](Private &self, const StoreAnswer &answer) { self.onChanges(answer); }));
+    client.watch(table, version, isReached ? options.pollTimeout : options.probeTimeout, guarded([](Private &self, const StoreAnswer &answer) {
+                     self.onChanges(answer);
+                 }));
 }
 
 auto TableWatch::Private::onChanges(const StoreAnswer &answer) -> void
 {
-    if (answer.end == StoreEnd::HistoryLost) {
+    if (answer.outcome == StoreOutcome::HistoryLost) {
         log.line("store", "history-lost").add("table", static_cast<int>(table)).add("version", version.value());
         start(true);
         return;
     }
-    if (answer.end != StoreEnd::Done) {
-        retry(answer.end);
+    if (answer.outcome != StoreOutcome::Done) {
+        retry(answer.outcome);
         return;
     }
     setReached(true);
@@ -330,11 +333,11 @@
     }
     if (isReached != reached) {
         isReached = reached;
-        hooks.onContact(reached);
+        hooks.onReachabilityChanged(reached);
     }
 }
 
-auto TableWatch::Private::retry(StoreEnd why) -> void
+auto TableWatch::Private::retry(StoreOutcome why) -> void
 {
     ++round;
     if (isReached) {
--- a/src/gateway/storeclient.h
+++ b/src/gateway/storeclient.h
@@ -23,17 +23,17 @@
 
 // [SECTION] Results
 
-enum class StoreEnd {
+enum class StoreOutcome {
     Done,
     Conflict, ///< a row had another version: nothing was changed
     HistoryLost, ///< a watch asked for changes that the store no longer has: read the table
     Refused, ///< certainly without effect
     Unclear, ///< no answer: a change may have been made, or may still be
 };
-auto toString(StoreEnd end) -> const char *;
+auto toString(StoreOutcome outcome) -> const char *;
 
 struct StoreAnswer {
-    StoreEnd end = StoreEnd::Unclear;
+    StoreOutcome outcome = StoreOutcome::Unclear;
     StorePage page; ///< of reads and watches
     RowVersion version; ///< of changes: that of the rows written
 };
@@ -59,7 +59,7 @@
     auto lastAnswerAt() const -> TimePoint; ///< of any call
 
     /// The store was not reached, or is reached again after that.
-    std::function<void()> onTrouble;
+    std::function<void()> onUnreachable;
 
     auto setServer(const Endpoint &server) -> void;
     /// One page of a table, from key `from` on.
@@ -82,12 +82,12 @@
     std::function<void(const std::vector<StoredRow> &rows, RowVersion upTo)> onTable;
     std::function<void(const std::vector<StoredRow> &rows)> onChanges;
     /// The store answers again, or no longer.
-    std::function<void(bool isReached)> onContact;
+    std::function<void(bool isReached)> onReachabilityChanged;
 };
 
 struct TableWatchOptions {
-    Duration wait = Duration::seconds(20); ///< of one watch call; one that the store took and forgot shows only after this
-    Duration probe = Duration::millis(300); ///< likewise, until the store has answered again: whoever was cut off must hear soon that it is back
+    Duration pollTimeout = Duration::seconds(20); ///< of one watch call; one that the store took and forgot shows only after this
+    Duration probeTimeout = Duration::millis(300); ///< likewise, until the store has answered again: whoever was cut off must hear soon that it is back
     BackoffOptions backoff {.initial = Duration::millis(50), .max = Duration::millis(500)}; ///< after a failed call
 };
 
--- a/src/gateway/storefollower.cpp
+++ b/src/gateway/storefollower.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-constexpr std::array Tables {StoreTable::Operators, StoreTable::Targets, StoreTable::Entries};
+constexpr std::array Tables {StoreTable::Declarations, StoreTable::Targets, StoreTable::Gateways};
 constexpr std::size_t TableCount = Tables.size();
 constexpr std::size_t GatewaysTable = 2; ///< in `Tables`
 
@@ -88,11 +88,11 @@
     {
         return rendezvousScore("store-watchers", id);
     }
-    auto isTrusted(const Watcher &watcher) const -> bool
+    auto isLive(const Watcher &watcher) const -> bool
     {
-        return watcher.isHealthy && loop.now() - watcher.receivedAt < settings.trustFor;
+        return watcher.isHealthy && loop.now() - watcher.receivedAt < settings.watcherTimeout;
     }
-    auto firstTrusted() const -> std::optional<std::string>;
+    auto firstLiveWatcher() const -> std::optional<std::string>;
     auto isAmongFirst() const -> bool;
     auto isFirst() const -> bool;
     auto reachesStore() const -> bool;
@@ -118,11 +118,11 @@
 };
 
 /// The watcher that passes changes on: the one that ranks first of those that reach the store.
-auto StoreFollower::Private::firstTrusted() const -> std::optional<std::string>
+auto StoreFollower::Private::firstLiveWatcher() const -> std::optional<std::string>
 {
     std::optional<std::string> first;
     for (const auto &[id, watcher] : watchers) {
-        if (isTrusted(watcher) && (!first || rankOf(id) > rankOf(*first))) {
+        if (isLive(watcher) && (!first || rankOf(id) > rankOf(*first))) {
             first = id;
         }
     }
@@ -145,7 +145,7 @@
 
 auto StoreFollower::Private::isFirst() const -> bool
 {
-    const auto other = firstTrusted();
+    const auto other = firstLiveWatcher();
     return reachesStore() && (!other || rankOf(settings.id) > rankOf(*other));
 }
 
@@ -154,7 +154,7 @@
 /// Only the gateways' rows at first: how many they are says from where the other tables are to come.
 auto StoreFollower::Private::start() -> void
 {
-    startLimit = loop.after(settings.askPeersFor, [this] {
+    startLimit = loop.after(settings.peerLoadTimeout, [this] {
         if (!areAllLoaded()) {
             endStart();
             startWatching("not-loaded");
@@ -189,7 +189,7 @@
     for (std::size_t i = 0; i < TableCount; ++i) {
         auto &table = tables.at(i);
         const bool hasIt = static_cast<int>(i) < digest.tables_size() && digest.tables(static_cast<int>(i)) != 0;
-        if (hasIt && !table.mirror.isLoaded() && loop.now() - table.askedAt >= settings.askAgain) {
+        if (hasIt && !table.mirror.isLoaded() && loop.now() - table.askedAt >= settings.peerRetryDelay) {
             table.askedAt = loop.now();
             requestTable(i, id);
         }
@@ -235,7 +235,7 @@
         return;
     }
     watching = false;
-    log.line("store", "following").add("watcher", firstTrusted().value_or("-"));
+    log.line("store", "following").add("watcher", firstLiveWatcher().value_or("-"));
     for (auto &table : tables) {
         table.watch.reset();
         table.toPass.clear();
@@ -251,7 +251,7 @@
     watchHooks.onChanges = [this, index](const std::vector<StoredRow> &rows) {
         takeOwn(index, tables.at(index).mirror.applyChanges(rows));
     };
-    watchHooks.onContact = [this, index](bool isReached) {
+    watchHooks.onReachabilityChanged = [this, index](bool isReached) {
         log.line("store", isReached ? "reached" : "not-reached").add("for", nameOf(index));
         if (!isReached && Tables.at(index) == StoreTable::Targets) {
             renewOthers(index);
@@ -259,7 +259,7 @@
     };
     TableWatchOptions options;
     if (Tables.at(index) == StoreTable::Targets) {
-        options.wait = settings.targetsWait;
+        options.pollTimeout = settings.targetsPollTimeout;
     }
     tables.at(index).watch = std::make_unique<TableWatch>(loop, store, log, Tables.at(index), options, std::move(watchHooks));
 }
@@ -324,14 +324,14 @@
 /// The first watcher may have lost the store without knowing it yet: what its digests don't show after a while is passed on by the others.
 auto StoreFollower::Private::passPending() -> void
 {
-    const auto first = firstTrusted();
+    const auto first = firstLiveWatcher();
     for (std::size_t i = 0; i < TableCount; ++i) {
         auto &waiting = tables.at(i).toPass;
         const auto known = first ? watchers.at(*first).versions.at(i) : RowVersion();
         std::erase_if(waiting, [&](const auto &row) { return row.second.version <= known; });
         std::vector<StoredRow> due;
         for (const auto &[since, row] : waiting) {
-            if (loop.now() - since >= settings.standInAfter) {
+            if (loop.now() - since >= settings.fallbackDelay) {
                 due.push_back(row);
             }
         }
@@ -349,7 +349,7 @@
 /// Targets' rows change all the time; gathered for a moment they take a fraction of the calls. Declarations are never held up.
 auto StoreFollower::Private::pace() -> void
 {
-    const auto pause = isFirst() ? settings.gatherFor : settings.gatherBehind;
+    const auto pause = isFirst() ? settings.batchDelay : settings.standbyBatchDelay;
     for (std::size_t i = 0; i < TableCount; ++i) {
         if (tables.at(i).watch && Tables.at(i) == StoreTable::Targets) {
             tables.at(i).watch->setPause(pause);
@@ -368,7 +368,7 @@
             continue;
         }
         table.differsSince = table.differsSince.value_or(loop.now());
-        if (loop.now() - *table.differsSince < settings.repairAfter) {
+        if (loop.now() - *table.differsSince < settings.repairDelay) {
             continue;
         }
         table.differsSince = loop.now();
@@ -405,14 +405,14 @@
 
 auto StoreFollower::isCurrent() const -> bool
 {
-    return d->reachesStore() || d->firstTrusted().has_value();
+    return d->reachesStore() || d->firstLiveWatcher().has_value();
 }
 
-auto StoreFollower::trustedWatchers() const -> std::vector<std::string>
+auto StoreFollower::liveWatchers() const -> std::vector<std::string>
 {
     std::vector<std::string> ids;
     for (const auto &[id, watcher] : d->watchers) {
-        if (d->isTrusted(watcher)) {
+        if (d->isLive(watcher)) {
             ids.push_back(id);
         }
     }
@@ -426,7 +426,7 @@
     }
 }
 
-auto StoreFollower::receive(StoreTable table, const std::vector<StoredRow> &rows) -> void
+auto StoreFollower::mergeRows(StoreTable table, const std::vector<StoredRow> &rows) -> void
 {
     if (const auto index = indexOf(table)) {
         d->takeOwn(*index, d->tables.at(*index).mirror.applyChanges(rows));
@@ -446,7 +446,7 @@
 auto StoreFollower::onDigest(const std::string &id, const Wire::GatewayDigest &digest) -> void
 {
     auto &watcher = d->watchers[id];
-    const bool wasTrusted = d->isTrusted(watcher);
+    const bool wasTrusted = d->isLive(watcher);
     watcher.receivedAt = d->loop.now();
     watcher.isHealthy = digest.watches_store() && !digest.store_trouble();
     if (watcher.isHealthy && !wasTrusted) {
@@ -461,7 +461,7 @@
     if (d->asksPeers) {
         d->askPeer(id, digest);
     }
-    if (watcher.isHealthy && d->firstTrusted() == id && !d->isFirst()) {
+    if (watcher.isHealthy && d->firstLiveWatcher() == id && !d->isFirst()) {
         d->compare(id, watcher);
     }
 }
@@ -504,11 +504,11 @@
     if (d->isStarting) {
         return;
     }
-    const auto first = d->firstTrusted();
+    const auto first = d->firstLiveWatcher();
     d->watcherCount.advance(first || d->reachesStore(), d->loop.now());
     // Until the watcher that is back has passed its rows on, those known here may still be out of date.
     if (!d->watching && (!first || !d->wasFollowing)) {
-        d->hooks.onTrouble();
+        d->hooks.onUnreachable();
     }
     d->wasFollowing = first.has_value();
     if (d->isAmongFirst()) {
@@ -519,7 +519,7 @@
         return;
     }
     const auto &watcher = d->watchers.at(*first);
-    const bool hasBeenThere = d->loop.now() - watcher.watchesSince >= d->settings.handOver;
+    const bool hasBeenThere = d->loop.now() - watcher.watchesSince >= d->settings.handoverDelay;
     if (hasBeenThere && d->areAllLoaded()) {
         d->stopWatching();
     }
--- a/src/gateway/storefollower.h
+++ b/src/gateway/storefollower.h
@@ -27,21 +27,22 @@
 
 struct StoreFollowerHooks {
     std::function<void(StoreTable table, const std::vector<StoredRow> &rows)> onRows; ///< changed or removed; the first time all of them
-    std::function<void()> onTrouble; ///< what is known may be out of date, or was until now
+    std::function<void()> onUnreachable; ///< what is known may be out of date, or was until now
 };
 
 struct StoreFollowerSettings {
     std::string id; ///< of this gateway
     StoreWatcherOptions watchers;
-    Duration trustFor = Duration::millis(1000); ///< since a watcher's last digest
-    Duration handOver = Duration::millis(1000); ///< a watcher must be there this long before an own watch ends
-    Duration standInAfter = Duration::millis(300); ///< the first watcher's digest must show a change by then, or the next passes it on
-    Duration targetsWait = Duration::millis(1500); ///< of one call for targets: their heartbeats come each second or so, so silence for longer is the store's
-    Duration gatherFor = Duration::millis(100); ///< the first watcher waits this long after a change of targets before it watches on
-    Duration gatherBehind = Duration::millis(700); ///< and the others, which only stand in
-    Duration askPeersFor = Duration::millis(1500); ///< at a start, for tables; then the store is read
-    Duration askAgain = Duration::millis(500); ///< another peer for the same table
-    Duration repairAfter = Duration::millis(600); ///< a table that differs from a watcher's for so long is asked for whole
+    Duration watcherTimeout = Duration::millis(1000); ///< since a watcher's last digest
+    Duration handoverDelay = Duration::millis(1000); ///< a watcher must be there this long before an own watch ends
+    Duration fallbackDelay = Duration::millis(300); ///< the first watcher's digest must show a change by then, or the next passes it on
+    Duration targetsPollTimeout
+        = Duration::millis(1500); ///< of one call for targets: their heartbeats come each second or so, so silence for longer is the store's
+    Duration batchDelay = Duration::millis(100); ///< the first watcher waits this long after a change of targets before it watches on
+    Duration standbyBatchDelay = Duration::millis(700); ///< and the others, which only stand in
+    Duration peerLoadTimeout = Duration::millis(1500); ///< at a start, for tables; then the store is read
+    Duration peerRetryDelay = Duration::millis(500); ///< another peer for the same table
+    Duration repairDelay = Duration::millis(600); ///< a table that differs from a watcher's for so long is asked for whole
 };
 
 // [SECTION] StoreFollower
@@ -58,7 +59,7 @@
     auto isLoaded(StoreTable table) const -> bool;
     auto isWatching() const -> bool; ///< by itself
     auto isCurrent() const -> bool; ///< the store is reached, here or by a watcher that is alive
-    auto trustedWatchers() const -> std::vector<std::string>; ///< other gateways that reach the store
+    auto liveWatchers() const -> std::vector<std::string>; ///< other gateways that reach the store
 
     // Commands
     auto writeDigest(Wire::GatewayDigest &digest) const -> void;
@@ -67,7 +68,7 @@
     auto advance() -> void; ///< call with each digest
     auto requestFrom(const std::string &peer, StoreTable table) const -> void; ///< whole, as that gateway knows it
     /// Rows that were read by other means than the watch, as if that had brought them.
-    auto receive(StoreTable table, const std::vector<StoredRow> &rows) -> void;
+    auto mergeRows(StoreTable table, const std::vector<StoredRow> &rows) -> void;
 
     struct Private;
 
--- a/src/gateway/targetdirectory.cpp
+++ b/src/gateway/targetdirectory.cpp
@@ -27,9 +27,9 @@
     }
 }
 
-auto TargetDirectory::takeRows(const std::vector<StoredRow> &rows) -> void
+auto TargetDirectory::applyRows(const std::vector<StoredRow> &rows) -> void
 {
-    doubtMassLoss(rows);
+    checkMassRemoval(rows);
     for (const auto &row : rows) {
         const auto target = row.isRemoved ? std::nullopt : m_parts.protocol.decodeTarget(row.key, row.value);
         if (target) {
@@ -41,7 +41,7 @@
     }
 }
 
-auto TargetDirectory::doubtMassLoss(const std::vector<StoredRow> &rows) -> void
+auto TargetDirectory::checkMassRemoval(const std::vector<StoredRow> &rows) -> void
 {
     const auto isKnown = [this](const StoredRow &row) {
         return row.isRemoved && m_view.find(TargetId(row.key)) != nullptr;
@@ -52,7 +52,7 @@
     }
 }
 
-auto TargetDirectory::storeLost() -> void
+auto TargetDirectory::storeUnreachable() -> void
 {
     m_view.storeUnreachable(m_parts.loop.now());
 }
--- a/src/gateway/targetdirectory.h
+++ b/src/gateway/targetdirectory.h
@@ -48,8 +48,8 @@
     auto writeLeaving(Wire::GatewayDigest &digest) const -> void;
 
     // Commands
-    auto takeRows(const std::vector<StoredRow> &rows) -> void;
-    auto storeLost() -> void; ///< what is known may be out of date, or was until now
+    auto applyRows(const std::vector<StoredRow> &rows) -> void;
+    auto storeUnreachable() -> void; ///< what is known may be out of date, or was until now
     auto reportedLeaving(const TargetIncarnation &target) -> void; ///< by another gateway
     /// Another target answers at its address.
     auto misdirected(const TargetId &target) -> void;
@@ -63,7 +63,7 @@
         TargetIncarnation incarnation;
         std::vector<ResidentModel> models;
     };
-    auto doubtMassLoss(const std::vector<StoredRow> &rows) -> void;
+    auto checkMassRemoval(const std::vector<StoredRow> &rows) -> void;
     auto apply(const TargetChanges &changes) -> void;
     auto onSeen(const TargetDescription &target) -> void;
     auto onGone(const TargetId &target) -> void;
--- a/src/gateway/usageexchange.cpp
+++ b/src/gateway/usageexchange.cpp
@@ -42,12 +42,12 @@
     m_timer = m_parts.loop.after(UrgentPeriodPerPeer * m_parts.peers.liveCount(), [this] {
         Wire::ControlFrame frame;
         frame.mutable_account_usage()->set_start(m_self);
-        write(*frame.mutable_account_usage());
+        writeReport(*frame.mutable_account_usage());
         m_parts.peers.sendAll(frame);
     });
 }
 
-auto UsageExchange::write(Wire::AccountUsage &message) -> void
+auto UsageExchange::writeReport(Wire::AccountUsage &message) -> void
 {
     for (const auto &account : m_parts.usage.takeReport(m_parts.loop.now())) {
         message.add_account(account.account);
--- a/src/gateway/usageexchange.h
+++ b/src/gateway/usageexchange.h
@@ -36,7 +36,7 @@
     /// All registered gateways but this one, and how often they send digests.
     auto setGateways(const std::vector<std::string> &others, Duration digestPeriod) -> void;
     auto charged(const AccountName &account) -> void;
-    auto write(Wire::AccountUsage &message) -> void; ///< what is due, for a digest
+    auto writeReport(Wire::AccountUsage &message) -> void; ///< what is due, for a digest
     /// `start`: of the sender `id`.
     auto merge(const std::string &id, const std::string &start, const Wire::AccountUsage &message) -> void;
 
--- a/tests/fuzz_platform.cpp
+++ b/tests/fuzz_platform.cpp
@@ -120,7 +120,7 @@
         const auto bytes = garbled(round, page);
         const auto decoded = format.decodePage(bytes);
         REQUIRE((!decoded || decoded->rows.size() < 100));
-        format.decodeChanged(bytes);
+        format.decodeChangeVersion(bytes);
     }
 }
 
@@ -144,8 +144,8 @@
             head.headers.push_back({name, garbled(round, value)});
         }
         const auto traits = Platform::readRequest(head);
-        REQUIRE((traits.promptTokens >= 0 && traits.mostOutputTokens >= 0));
-        REQUIRE_FALSE(traits.patience.value_or(Duration()) < Duration());
+        REQUIRE((traits.promptTokens >= 0 && traits.maxOutputTokens >= 0));
+        REQUIRE_FALSE(traits.timeBudget.value_or(Duration()) < Duration());
         Platform::readAnswer(head);
     }
 }
--- a/tests/unit_copies.cpp
+++ b/tests/unit_copies.cpp
@@ -133,13 +133,13 @@
         }
     };
     CopyUse use(hooks);
-    use.held(TargetId("r1"), {{"m1", 0, {}, true}, {"m2", 0, {}}});
+    use.reportedResidency(TargetId("r1"), {{"m1", 0, {}, true}, {"m2", 0, {}}});
     REQUIRE(told == std::vector<int> {4});
-    use.held(TargetId("r1"), {{"m1", 0, {}, true}, {"m2", 0, {}}});
+    use.reportedResidency(TargetId("r1"), {{"m1", 0, {}, true}, {"m2", 0, {}}});
     REQUIRE(told.size() == 1);
     use.report();
     REQUIRE(told.size() == 2);
-    use.held(TargetId("r1"), {{"m1", 0, {}}, {"m2", 0, {}}});
+    use.reportedResidency(TargetId("r1"), {{"m1", 0, {}}, {"m2", 0, {}}});
     use.report();
     REQUIRE(told.size() == 2);
 }
