--- a/src/gateway/accountlog.cpp
+++ b/src/gateway/accountlog.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Of one version; a version that changes more accounts is shown in part.
-constexpr int MostLines = 64;
+/// Lines logged for one version of the declarations. Of further changed accounts only the number is logged.
+constexpr int MaxLines = 64;
 
 using AccountsByName = std::map<AccountName, const ClientAccount *>;
 
@@ -24,7 +24,7 @@
     return accounts;
 }
 
-/// How many of `keys` aren't among `others`.
+/// Number of `keys` that aren't in `others`.
 auto countMissing(const std::vector<KeyDigest> &keys, const std::vector<KeyDigest> &others) -> int
 {
     const std::set<KeyDigest> known(others.begin(), others.end());
@@ -43,7 +43,7 @@
         const auto found = old.find(name);
         const auto &was = found == old.end() ? none : *found->second;
         const bool isSame = found != old.end() && was.keys == account->keys && was.limit == account->limit && was.priority == account->priority;
-        if (isSame || ++lines > MostLines) {
+        if (isSame || ++lines > MaxLines) {
             continue;
         }
         log.line("accounts", found == old.end() ? "declared" : "changed")
@@ -55,12 +55,12 @@
             .add("priority", account->priority.value_or(-1));
     }
     for (const auto &[name, account] : old) {
-        if (!current.contains(name) && ++lines <= MostLines) {
+        if (!current.contains(name) && ++lines <= MaxLines) {
             log.line("accounts", "dropped").add("account", name.text()).add("keys-revoked", static_cast<int>(account->keys.size()));
         }
     }
-    if (lines > MostLines) {
-        log.line("accounts", "more-changed").add("accounts", lines - MostLines);
+    if (lines > MaxLines) {
+        log.line("accounts", "more-changed").add("accounts", lines - MaxLines);
     }
 }
 
--- a/src/gateway/accountlog.h
+++ b/src/gateway/accountlog.h
@@ -1,4 +1,4 @@
-// Log lines on what a new version of the declarations changes for client accounts.
+// Logs what a new version of the declarations changes for client accounts.
 #pragma once
 
 #include "core/accounts.h"
@@ -7,7 +7,7 @@
 namespace KingCup
 {
 
-/// One line for each account that is new, changed or gone, up to a bound. Keys are shown as numbers only.
+/// Logs one line for each account that was added, changed or removed, up to a limit. Of keys only the number is logged.
 auto logAccountChanges(EventLog &log, const AccountTable &before, const AccountTable &after) -> void;
 
 } // namespace KingCup
--- a/src/gateway/copyuse.cpp
+++ b/src/gateway/copyuse.cpp
@@ -16,12 +16,12 @@
     for (const auto &copy : m_draining) {
         const auto report = m_reported.find(copy);
         int sum = m_hooks.ownStreams(copy);
-        const bool isWhole = std::all_of(peers.begin(), peers.end(), [&](const std::string &peer) {
+        const bool isComplete = std::all_of(peers.begin(), peers.end(), [&](const std::string &peer) {
             const bool hasReported = report != m_reported.end() && report->second.contains(peer);
             sum += hasReported ? report->second.at(peer) : 0;
             return hasReported;
         });
-        if (isWhole) {
+        if (isComplete) {
             result[copy] = sum;
         }
     }
@@ -30,7 +30,7 @@
 
 auto CopyUse::reportedResidency(const TargetId &target, const std::vector<ResidentModel> &models) -> void
 {
-    bool isNew = false;
+    bool hasNew = false;
     std::erase_if(m_draining, [&](const CopyKey &copy) {
         const auto isCopy = [&](const ResidentModel &held) {
             return held.name == copy.second && held.isDraining;
@@ -38,9 +38,9 @@
         return copy.first == target && std::none_of(models.begin(), models.end(), isCopy);
     });
     for (const auto &held : models) {
-        isNew = (held.isDraining && m_draining.emplace(target, held.name).second) || isNew;
+        hasNew = (held.isDraining && m_draining.emplace(target, held.name).second) || hasNew;
     }
-    if (isNew) {
+    if (hasNew) {
         report();
     }
 }
@@ -73,7 +73,7 @@
             m_draining.emplace(target, model);
         }
     }
-    // What was reported of an earlier move of the same copy says nothing of this one.
+    // Reports from an earlier move of the same replica must not count for a later one.
     std::erase_if(m_reported, [&](const auto &report) { return !m_draining.contains(report.first); });
 }
 
--- a/src/gateway/copyuse.h
+++ b/src/gateway/copyuse.h
@@ -1,10 +1,10 @@
-// Streams under way at draining replicas, over all gateways: such a replica is unloaded when its last stream has ended, and each gateway knows
+// Counts the streams in flight at draining replicas over all gateways. A draining replica is unloaded when its last stream has ended, but each gateway knows
 // only its own streams.
 //
-// Each gateway reports its number to the lease holder, at once when a replica begins to drain and with every digest until it is gone.
+// Each gateway reports its count to the lease holder: at once when a replica begins to drain, then a few times a second until the replica is gone.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks     what it needs
+//   Hooks     callbacks
 //   CopyUse   the state
 #pragma once
 
@@ -22,8 +22,8 @@
 // [SECTION] Hooks
 
 struct CopyUseHooks {
-    std::function<int(const CopyKey &copy)> ownStreams; ///< of this gateway
-    std::function<void(const Wire::ControlFrame &frame)> sendToHolder; ///< the gateway that gives orders
+    std::function<int(const CopyKey &copy)> ownStreams; ///< streams of this gateway at a replica
+    std::function<void(const Wire::ControlFrame &frame)> sendToHolder; ///< sends a message to the lease holder
 };
 
 // [SECTION] CopyUse
@@ -34,23 +34,23 @@
     explicit CopyUse(CopyUseHooks hooks);
 
     // Queries
-    /// Of all gateways; only copies of which each of `peers` has reported.
+    /// Streams at each draining replica, summed over this gateway and `peers`. Leaves out replicas for which a peer hasn't reported yet.
     auto streams(const std::set<std::string> &peers) const -> std::map<CopyKey, int>;
 
-    // Commands: where another gateway gives orders
-    /// What a runner holds, as the one that gives orders has said.
+    // Commands: while another gateway holds the lease
+    /// The lease holder reported what a runner holds.
     auto reportedResidency(const TargetId &target, const std::vector<ResidentModel> &models) -> void;
     auto targetGone(const TargetId &target) -> void;
-    auto report() const -> void; ///< to be called regularly
+    auto report() const -> void; ///< call a few times a second
 
-    // Commands: where this one does
+    // Commands: while this gateway holds the lease
     auto setMoves(const std::map<TargetId, CopyMove> &moves) -> void;
     auto streamsReported(const std::string &peer, const Wire::CopyStreams &message) -> void;
 
 private:
     CopyUseHooks m_hooks;
     std::set<CopyKey> m_draining;
-    std::map<CopyKey, std::map<std::string, int>> m_reported; ///< by copy, then by gateway
+    std::map<CopyKey, std::map<std::string, int>> m_reported; ///< streams by replica, then by gateway
 };
 
 } // namespace KingCup
--- a/src/gateway/demandexchange.cpp
+++ b/src/gateway/demandexchange.cpp
@@ -8,11 +8,13 @@
 namespace
 {
 
-/// An adapter that is asked for on a second runner is there within some tens of milliseconds, or has no slot for a while.
-constexpr auto ReportOverloadedPeriod = Duration::millis(300);
+/// Overload of the same adapter is reported at most once in this time. Its second copy is loaded within some tens of milliseconds, or there is no slot for it
+/// for a while.
+constexpr auto OverloadReportPeriod = Duration::millis(300);
 constexpr auto DemandBucket = Duration::millis(500);
-/// Demand moves between models within four to nine seconds. What is no longer asked for must be noticed as soon: its copies take the slots of those that
-/// are. Nothing is lost by it, as a copy goes only when another model needs its place.
+/// Weights of the forecast for rising and falling demand. Demand moves between models within four to nine seconds. A fall must be noticed as quickly as a rise,
+/// as the replicas of models without requests occupy slots that other models need. A forecast that falls too early costs nothing: a replica is evicted only
+/// when another model needs its slot.
 constexpr double DemandRise = 0.4;
 constexpr double DemandFall = 0.3;
 
@@ -41,7 +43,7 @@
 
 auto DemandExchange::modelRequested(const std::string &model) -> void
 {
-    ++m_asked[model];
+    ++m_requested[model];
 }
 
 auto DemandExchange::adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void
@@ -50,21 +52,21 @@
     m_adapterUses[target.text() + "/" + model + "/" + adapter] = {target, model + "/" + adapter};
 }
 
-auto DemandExchange::artifactMissing(const MissingArtifact &wanted) -> void
+auto DemandExchange::artifactMissing(const MissingArtifact &artifact) -> void
 {
     if (m_parts.orders.mayOrder()) {
-        m_parts.orders.artifactMissing(wanted.service, wanted.model, wanted.adapter);
+        m_parts.orders.artifactMissing(artifact.service, artifact.model, artifact.adapter);
         return;
     }
-    m_parts.orders.addPending(wanted.service, wanted.model, wanted.adapter);
-    sendWanted(wanted, false);
+    m_parts.orders.addPending(artifact.service, artifact.model, artifact.adapter);
+    sendWanted(artifact, false);
 }
 
 auto DemandExchange::adapterOverloaded(const MissingArtifact &adapter) -> void
 {
     const auto now = m_parts.loop.now();
     auto &reportedAt = m_overloadedAt[adapter.model + "/" + adapter.adapter];
-    if (now - reportedAt < ReportOverloadedPeriod) {
+    if (now - reportedAt < OverloadReportPeriod) {
         return;
     }
     reportedAt = now;
@@ -76,14 +78,14 @@
     sendWanted(adapter, true);
 }
 
-auto DemandExchange::sendWanted(const MissingArtifact &wanted, bool another) -> void
+auto DemandExchange::sendWanted(const MissingArtifact &artifact, bool forSecondCopy) -> void
 {
     Wire::ControlFrame frame;
     auto *message = frame.mutable_wanted();
-    message->set_service(wanted.service.text());
-    message->set_model(wanted.model);
-    message->set_adapter(wanted.adapter);
-    message->set_another(another);
+    message->set_service(artifact.service.text());
+    message->set_model(artifact.model);
+    message->set_adapter(artifact.adapter);
+    message->set_another(forSecondCopy);
     m_parts.peers.send(holderId(), frame);
 }
 
@@ -91,7 +93,7 @@
 {
     const auto now = m_parts.loop.now();
     m_demand.advance(now);
-    std::erase_if(m_overloadedAt, [&](const auto &one) { return now - one.second > ReportOverloadedPeriod; });
+    std::erase_if(m_overloadedAt, [&](const auto &entry) { return now - entry.second > OverloadReportPeriod; });
     report();
 }
 
@@ -99,7 +101,7 @@
 {
     Wire::ControlFrame frame;
     auto *message = frame.mutable_gateway_demand();
-    for (const auto &[model, requests] : m_asked) {
+    for (const auto &[model, requests] : m_requested) {
         auto *added = message->add_asked();
         added->set_model(model);
         added->set_requests(static_cast<std::uint32_t>(requests));
@@ -109,10 +111,10 @@
         added->set_target(use.first.text());
         added->set_adapter(use.second);
     }
-    m_asked.clear();
+    m_requested.clear();
     m_adapterUses.clear();
     if (m_parts.orders.mayOrder()) {
-        message->clear_uses(); // known to the orders already
+        message->clear_uses(); // the order task got these by adapterUsed()
         onDemand(*message);
     } else if (message->asked_size() > 0 || message->uses_size() > 0) {
         m_parts.peers.send(holderId(), frame);
@@ -136,7 +138,7 @@
     const ServiceName service(message.service());
     auto &orders = m_parts.orders;
     if (!orders.mayOrder()) {
-        // Others send to the holder by the lease's row, where its name stands before it may give orders.
+        // Other gateways know the new lease holder from the lease's row, which names it before it may give orders.
         orders.addPending(service, message.model(), message.adapter());
     } else if (message.another()) {
         orders.adapterOverloaded(service, message.model(), message.adapter());
@@ -145,7 +147,7 @@
     }
 }
 
-/// By its fence, not by its name: that stands in the lease's row before it may give orders.
+/// Recognises a new lease holder by its fence, not by its name: the lease's row names it before it may give orders.
 auto DemandExchange::holderAnnounced(Fence fence) -> void
 {
     if (fence == m_announcedFence) {
--- a/src/gateway/demandexchange.h
+++ b/src/gateway/demandexchange.h
@@ -1,9 +1,9 @@
-// What requests ask for, reported to the gateway that gives orders: requests by model, uses of adapters, and what requests wait for.
+// Reports this gateway's demand to the lease holder: requests by model, uses of adapters, and the artifacts that requests wait for.
 //
-// Only the lease holder needs it. Sent to all, the names of models would be the larger part of the traffic between gateways.
+// Only the lease holder needs these reports. Sent to all gateways, the names of models would be the larger part of the traffic between them.
 //
 // Index of sections (search for [SECTION]):
-//   Parts            what it needs
+//   Parts            dependencies
 //   DemandExchange   the task
 #pragma once
 
@@ -37,32 +37,33 @@
     explicit DemandExchange(DemandExchangeParts parts);
 
     // Queries
-    auto holderId() const -> std::string; ///< the gateway that gives orders, as far as known
-    /// Work by model: now, and when a load that begins now is done.
+    auto holderId() const -> std::string; ///< the lease holder, as far as known
+    /// Demand by model, as work of runners: now, and forecast for the time at which a load that begins now is done.
     auto work(const EngineDeclaration &engine, const RequestCost &cost) const -> std::map<std::string, ModelWork>;
 
     // Commands: this gateway's requests
-    auto modelRequested(const std::string &model) -> void; ///< also where no replica was found
+    auto modelRequested(const std::string &model) -> void; ///< a request for it has arrived, whether or not a replica was found
     auto adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void;
-    auto artifactMissing(const MissingArtifact &wanted) -> void; ///< a request waits for it
+    auto artifactMissing(const MissingArtifact &artifact) -> void; ///< a request waits for it
     auto adapterOverloaded(const MissingArtifact &adapter) -> void; ///< the only runner with it is too busy
-    auto advance() -> void; ///< call with each digest: reports what has come since
+    auto advance() -> void; ///< call a few times a second: reports what was counted since the last call
 
     // Commands: other gateways
     auto onDemand(const Wire::GatewayDemand &message) -> void;
     auto onWanted(const Wire::Wanted &message) -> void;
-    auto holderAnnounced(Fence fence) -> void; ///< in a digest of the lease holder
+    /// A digest of the lease holder has arrived. Sends it the pending artifacts, once per fence.
+    auto holderAnnounced(Fence fence) -> void;
 
 private:
-    auto sendWanted(const MissingArtifact &wanted, bool another) -> void;
+    auto sendWanted(const MissingArtifact &artifact, bool forSecondCopy) -> void;
     auto report() -> void;
 
     DemandExchangeParts m_parts;
     DemandForecast m_demand;
-    std::map<std::string, int> m_asked; ///< requests by model since the last report
-    std::map<std::string, std::pair<TargetId, std::string>> m_adapterUses; ///< since the last report
-    std::map<std::string, TimePoint> m_overloadedAt; ///< reported; by "MODEL/ADAPTER"
-    Fence m_announcedFence; ///< of the lease holder that last received the pending requests
+    std::map<std::string, int> m_requested; ///< requests by model since the last report
+    std::map<std::string, std::pair<TargetId, std::string>> m_adapterUses; ///< since the last report; target and "MODEL/ADAPTER"
+    std::map<std::string, TimePoint> m_overloadedAt; ///< when overload was last reported, by "MODEL/ADAPTER"
+    Fence m_announcedFence; ///< of the lease holder to which the pending artifacts were last sent
 };
 
 } // namespace KingCup
--- a/src/gateway/digests.cpp
+++ b/src/gateway/digests.cpp
@@ -10,33 +10,33 @@
 namespace
 {
 
-constexpr std::int64_t TokenUnit = 64;
-constexpr double Percent = 100;
-constexpr std::int64_t MicrosPerTenth = 100;
+constexpr std::int64_t TokenUnit = 64; ///< tokens per unit in messages
+constexpr double Percent = 100; ///< failure rates are sent as whole percents
+constexpr std::int64_t MicrosPerTenth = 100; ///< prefill times are sent as tenths of a millisecond
 
-auto shortName(const std::string &name) -> std::uint32_t
+auto nameHash(const std::string &name) -> std::uint32_t
 {
     return static_cast<std::uint32_t>(stableHash(name));
 }
 
-auto shortName(const TargetId &target) -> std::uint32_t
+auto nameHash(const TargetId &target) -> std::uint32_t
 {
-    return shortName(target.text());
+    return nameHash(target.text());
 }
 
 auto writeColumns(const TargetWork &one, Wire::GatewayDigest::Work &columns) -> void
 {
-    columns.add_target(shortName(one.target));
+    columns.add_target(nameHash(one.target));
     columns.add_running(static_cast<std::uint32_t>(one.running));
-    for (const auto &unread : one.pendingPrefill) {
-        columns.add_unread_ms(static_cast<std::uint32_t>(unread.inMillis()));
+    for (const auto &pending : one.pendingPrefill) {
+        columns.add_unread_ms(static_cast<std::uint32_t>(pending.inMillis()));
     }
     columns.add_tokens(static_cast<std::uint32_t>(one.tokens / TokenUnit));
     columns.add_failures(static_cast<std::uint32_t>(one.failures * Percent));
     columns.add_ejected(one.isEjected);
 }
 
-auto rowsOf(const Wire::GatewayDigest::Work &work) -> int
+auto rowCount(const Wire::GatewayDigest::Work &work) -> int
 {
     constexpr int Bands = static_cast<int>(UrgencyBandCount);
     return std::min({work.target_size(), work.running_size(), work.unread_ms_size() / Bands, work.tokens_size(), work.failures_size(), work.ejected_size()});
@@ -60,7 +60,7 @@
 auto workOf(const Wire::GatewayDigest::Work &message, const TargetNames &names) -> std::vector<TargetWork>
 {
     std::vector<TargetWork> list;
-    const int rows = rowsOf(message);
+    const int rows = rowCount(message);
     for (int i = 0; i < rows; ++i) {
         if (const auto *target = names.find(message.target(i))) {
             list.push_back(workAt(message, i, *target));
@@ -69,20 +69,20 @@
     return list;
 }
 
-using ReadChains = std::vector<std::pair<TargetId, PromptChain>>;
+using PrefilledChains = std::vector<std::pair<TargetId, PromptChain>>;
 
-auto writeRead(const ReadChains &chains, Wire::GatewayDigest::Read &message) -> void
+auto writePrefilledChains(const PrefilledChains &chains, Wire::GatewayDigest::Read &message) -> void
 {
     for (const auto &[target, chain] : chains) {
-        message.add_target(shortName(target));
+        message.add_target(nameHash(target));
         message.add_chain(chain.hash);
         message.add_tokens(static_cast<std::uint32_t>(chain.tokens));
     }
 }
 
-auto readOf(const Wire::GatewayDigest::Read &message, const TargetNames &names) -> ReadChains
+auto prefilledChainsOf(const Wire::GatewayDigest::Read &message, const TargetNames &names) -> PrefilledChains
 {
-    ReadChains chains;
+    PrefilledChains chains;
     const int rows = std::min({message.target_size(), message.chain_size(), message.tokens_size()});
     for (int i = 0; i < rows; ++i) {
         if (const auto *target = names.find(message.target(i))) {
@@ -94,20 +94,20 @@
 
 } // namespace
 
-auto TargetNames::find(std::uint32_t name) const -> const TargetId *
+auto TargetNames::find(std::uint32_t hash) const -> const TargetId *
 {
-    const auto found = m_targets.find(name);
+    const auto found = m_targets.find(hash);
     return found == m_targets.end() ? nullptr : &found->second;
 }
 
 auto TargetNames::add(const TargetId &target) -> void
 {
-    m_targets.insert_or_assign(shortName(target), target);
+    m_targets.insert_or_assign(nameHash(target), target);
 }
 
 auto TargetNames::remove(const TargetId &target) -> void
 {
-    m_targets.erase(shortName(target));
+    m_targets.erase(nameHash(target));
 }
 
 auto writeWork(const WorkDigest &work, Wire::GatewayDigest &message) -> void
@@ -115,7 +115,7 @@
     for (const auto &one : work.work) {
         writeColumns(one, *message.mutable_work());
     }
-    writeRead(work.prefilled, *message.mutable_read());
+    writePrefilledChains(work.prefilled, *message.mutable_read());
 }
 
 auto workOf(const Wire::GatewayDigest &message, const TargetNames &names) -> WorkDigest
@@ -124,7 +124,7 @@
     digest.entry = EntryId(message.entry());
     digest.sequence = message.sequence();
     digest.work = workOf(message.work(), names);
-    digest.prefilled = readOf(message.read(), names);
+    digest.prefilled = prefilledChainsOf(message.read(), names);
     return digest;
 }
 
@@ -137,7 +137,7 @@
     for (const auto &one : load.work.work) {
         writeColumns(one, *message->mutable_work());
     }
-    writeRead(load.work.prefilled, *message->mutable_read());
+    writePrefilledChains(load.work.prefilled, *message->mutable_read());
     writePrefill(load.prefill, *message->mutable_prefill());
     return frame;
 }
@@ -148,7 +148,7 @@
     load.work.entry = EntryId(message.gateway());
     load.work.sequence = message.sequence();
     load.work.work = workOf(message.work(), names);
-    load.work.prefilled = readOf(message.read(), names);
+    load.work.prefilled = prefilledChainsOf(message.read(), names);
     load.prefill = prefillOf(message.prefill(), names);
     return load;
 }
@@ -164,10 +164,10 @@
         message->add_next_failures(static_cast<std::uint32_t>(target.nextFailures * Percent));
         message->add_ejections(static_cast<std::uint32_t>(target.ejections));
     }
-    writeRead(cell.prefilled, *message->mutable_read());
+    writePrefilledChains(cell.prefilled, *message->mutable_read());
     writePrefill(cell.prefill, *message->mutable_prefill());
     for (const auto &[gateway, sequence] : cell.reported) {
-        message->add_reporter(shortName(gateway.text()));
+        message->add_reporter(nameHash(gateway.text()));
         message->add_reported(sequence);
     }
     return frame;
@@ -178,15 +178,15 @@
     CellLoad cell;
     cell.keeper = EntryId(message.keeper());
     cell.sequence = message.sequence();
-    const int rows = std::min({rowsOf(message.work()), message.next_failures_size(), message.ejections_size()});
+    const int rows = std::min({rowCount(message.work()), message.next_failures_size(), message.ejections_size()});
     for (int i = 0; i < rows; ++i) {
         if (const auto *target = names.find(message.work().target(i))) {
             cell.targets.push_back({workAt(message.work(), i, *target), message.next_failures(i) / Percent, static_cast<int>(message.ejections(i))});
         }
     }
     cell.prefill = prefillOf(message.prefill(), names);
-    cell.prefilled = readOf(message.read(), names);
-    const auto ownName = shortName(self.text());
+    cell.prefilled = prefilledChainsOf(message.read(), names);
+    const auto ownName = nameHash(self.text());
     for (int i = 0; i < std::min(message.reporter_size(), message.reported_size()); ++i) {
         if (message.reporter(i) == ownName) {
             cell.reported[self] = message.reported(i);
@@ -198,7 +198,7 @@
 auto writePrefill(const std::vector<SentPrefill> &sent, Wire::SentPrefill &message) -> void
 {
     for (const auto &one : sent) {
-        message.add_target(shortName(one.target));
+        message.add_target(nameHash(one.target));
         message.add_tenths_ms(static_cast<std::uint32_t>(one.prefill.inMicros() / MicrosPerTenth));
     }
 }
--- a/src/gateway/digests.h
+++ b/src/gateway/digests.h
@@ -1,4 +1,6 @@
-// What gateways tell each other, as messages.
+// Conversion between the dispatcher's load data and the messages that gateways exchange.
+//
+// Messages name a target by a 32-bit hash of its id, which TargetNames resolves. The functions that read a message leave out targets that aren't in `names`.
 #pragma once
 
 #include "core/cellload.h"
@@ -13,11 +15,11 @@
 namespace KingCup
 {
 
-/// The short names of targets in messages, hashed once for each target.
+/// The known targets by the 32-bit hash that stands for their id in messages.
 class TargetNames
 {
 public:
-    auto find(std::uint32_t name) const -> const TargetId *; ///< null: not known here
+    auto find(std::uint32_t hash) const -> const TargetId *; ///< null: unknown target
 
     auto add(const TargetId &target) -> void;
     auto remove(const TargetId &target) -> void;
@@ -26,7 +28,6 @@
     std::unordered_map<std::uint32_t, TargetId> m_targets;
 };
 
-// Functions that read a message leave out targets that aren't in `names`.
 auto writeWork(const WorkDigest &work, Wire::GatewayDigest &message) -> void;
 auto workOf(const Wire::GatewayDigest &message, const TargetNames &names) -> WorkDigest;
 
@@ -37,7 +38,7 @@
 auto gatewayLoadOf(const Wire::GatewayLoad &message, const TargetNames &names) -> GatewayLoad;
 
 auto cellLoadFrame(const CellLoad &cell) -> Wire::ControlFrame;
-/// Of the gateways that are included, only `self` is read.
+/// Of the sequence numbers by gateway, reads only that of `self`.
 auto cellLoadOf(const Wire::CellLoad &message, const EntryId &self, const TargetNames &names) -> CellLoad;
 
 auto residencyFrame(const TargetDescription &target) -> Wire::ControlFrame;
--- a/src/gateway/freshnesstask.cpp
+++ b/src/gateway/freshnesstask.cpp
@@ -1,8 +1,8 @@
 // Index of sections (search for [SECTION]):
-//   State           when it was asked for
-//   Store           own reads
-//   Peers           requests and replies
-//   FreshnessTask   the public face
+//   State           timer, and when a proof is renewed
+//   Store           reads of the declarations' row
+//   Peers           requests to other gateways
+//   FreshnessTask   public interface
 #include "gateway/freshnesstask.h"
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 namespace
 {
 
-/// A proof is renewed at this share of its lifetime, so that several tries fit before it ends.
-constexpr double RenewAt = 0.2;
-/// Between two tries, of the lifetime.
-constexpr double TryPeriod = 0.06;
-/// Asked at once where the usual gateway didn't answer.
-constexpr std::size_t PeersAtOnce = 3;
+/// A proof is renewed at this share of its lifetime, so that several attempts fit in before it expires.
+constexpr double RenewAgeShare = 0.2;
+/// Share of the lifetime between two attempts.
+constexpr double RetryPeriodShare = 0.06;
+/// Number of random peers asked at once if there is no live watcher or the usual attempts failed.
+constexpr std::size_t MaxPeersAsked = 3;
 
 } // namespace
 
@@ -42,39 +42,39 @@
     }
     auto restartTimer() -> void;
     auto tick() -> void;
-    auto noteProof() -> void;
+    auto reportProofState() -> void;
     auto readStore() -> void;
     auto onRead(const StoreAnswer &answer, TimePoint readAt) -> void;
     auto askPeers(bool isUrgent) -> void;
-    auto chooseFrom(std::vector<std::string> ids, std::size_t most) -> std::vector<std::string>;
+    auto chooseRandom(std::vector<std::string> ids, std::size_t most) -> std::vector<std::string>;
 };
 
 auto FreshnessTask::Private::restartTimer() -> void
 {
     timer.cancel();
     if (isActive) {
-        timer = parts.loop.every(settings.proofLifetime * TryPeriod, [this] { tick(); });
+        timer = parts.loop.every(settings.proofLifetime * RetryPeriodShare, [this] { tick(); });
     }
 }
 
 auto FreshnessTask::Private::tick() -> void
 {
-    noteProof();
+    reportProofState();
     const auto age = parts.access.proofAge(parts.loop.now());
-    if (age && *age < settings.proofLifetime * RenewAt) {
+    if (age && *age < settings.proofLifetime * RenewAgeShare) {
         return;
     }
     if (parts.follower.isWatching()) {
         readStore();
     }
-    // An own read that isn't answered by the next try may never be.
-    const bool isUrgent = !age || *age > settings.proofLifetime * (RenewAt + TryPeriod * 2);
+    // If the proof is still not renewed two attempts later, this gateway's own read may never be answered.
+    const bool isUrgent = !age || *age > settings.proofLifetime * (RenewAgeShare + RetryPeriodShare * 2);
     if (!parts.follower.isWatching() || isUrgent) {
         askPeers(isUrgent);
     }
 }
 
-auto FreshnessTask::Private::noteProof() -> void
+auto FreshnessTask::Private::reportProofState() -> void
 {
     const auto age = parts.access.proofAge(parts.loop.now());
     const bool isProven = age && *age <= settings.proofLifetime;
@@ -115,7 +115,7 @@
 
 // [SECTION] Peers
 
-auto FreshnessTask::Private::chooseFrom(std::vector<std::string> ids, std::size_t most) -> std::vector<std::string>
+auto FreshnessTask::Private::chooseRandom(std::vector<std::string> ids, std::size_t most) -> std::vector<std::string>
 {
     std::shuffle(ids.begin(), ids.end(), random);
     ids.resize(std::min(ids.size(), most));
@@ -124,10 +124,10 @@
 
 auto FreshnessTask::Private::askPeers(bool isUrgent) -> void
 {
-    auto chosen = chooseFrom(parts.follower.liveWatchers(), 1);
+    auto chosen = chooseRandom(parts.follower.liveWatchers(), 1);
     if (chosen.empty() || isUrgent) {
         const auto live = parts.peers.live();
-        const auto others = chooseFrom({live.begin(), live.end()}, PeersAtOnce);
+        const auto others = chooseRandom({live.begin(), live.end()}, MaxPeersAsked);
         chosen.insert(chosen.end(), others.begin(), others.end());
     }
     Wire::ControlFrame frame;
@@ -193,7 +193,7 @@
     const RowVersion version(reply.row_version());
     d->parts.access.addProof({version, askedAt - age});
     if (version > d->parts.access.knownVersion()) {
-        // Rows that were passed on may have been lost with a connection.
+        // Forwarded rows may have been lost with a connection.
         d->parts.log.line("accounts", "declarations-behind").add("peer", from).add("version", version.value());
         d->parts.follower.requestFrom(from, StoreTable::Declarations);
     }
--- a/src/gateway/freshnesstask.h
+++ b/src/gateway/freshnesstask.h
@@ -1,10 +1,11 @@
-// Keeps this gateway's proof young that the declarations it knows are the newest (core/freshness.h).
+// Renews this gateway's proof that the declarations it knows are the newest (core/freshness.h).
 //
-// Gateways that watch the store read the declarations' row from it; the others ask one of those. Who gets no answer asks some others, which have a proof from
-// anywhere: a gateway that the store rejects alone is served by its peers. The cost grows with the gateways, not with their pairs.
+// Gateways that watch the store read the declarations' row from it; each other gateway asks one of the watchers. A gateway that gets no answer asks a few other
+// peers, whose proofs may come from any source: so a gateway whose calls only the store rejects still gets proofs. The cost grows linearly with the number
+// of gateways.
 //
 // Index of sections (search for [SECTION]):
-//   Parts           what it needs
+//   Parts           dependencies and settings
 //   FreshnessTask   the task
 #pragma once
 
@@ -33,8 +34,8 @@
 
 struct FreshnessSettings {
     std::string declarationsKey; ///< key of the declarations' row
-    Duration proofLifetime; ///< for as long a proof is of use
-    std::uint64_t seed = 1; ///< of the choice of peers
+    Duration proofLifetime; ///< for which a proof is valid
+    std::uint64_t seed = 1; ///< of the random choice of peers
 };
 
 // [SECTION] FreshnessTask
@@ -48,7 +49,7 @@
     auto operator=(const FreshnessTask &) -> FreshnessTask & = delete;
 
     auto setProofLifetime(Duration lifetime) -> void;
-    /// Proofs are sought only where accounts are declared.
+    /// Proofs are renewed only while active: they are needed only where accounts are declared.
     auto setActive(bool isActive) -> void;
     auto onRequest(const std::string &from, const Wire::FreshnessRequest &request) -> void;
     auto onReply(const std::string &from, const Wire::FreshnessReply &reply) -> void;
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -12,7 +12,7 @@
 constexpr auto CheckPeriod = Duration::millis(300);
 
 struct PeerState {
-    TimePoint at;
+    TimePoint receivedAt; ///< of the last message
     bool isLive = false;
 };
 
@@ -67,11 +67,12 @@
     linkHooks.greeting = [this] {
         return greeting();
     };
-    constexpr auto NeverPing = Duration::seconds(3600); // digests show silence sooner
+    constexpr auto NeverPing = Duration::seconds(3600); // missing digests show a dead peer sooner
     links = std::make_unique<PeerLinks>(loop, "peers", PeerOptions(), NeverPing, std::move(linkHooks));
 }
 
-/// Frames come on the streams that others open to us; on ours only their greeting does.
+/// Each gateway sends its messages on the streams that it opens. So other gateways' messages arrive on incoming streams; on the streams that this gateway
+/// opens, a peer sends only its hello.
 auto GatewayPeers::Private::accept(const PeerStreamPtr &stream) -> void
 {
     if (stream->path() != ControlPath) {
@@ -95,10 +96,10 @@
 auto GatewayPeers::Private::onFrame(const std::string &id, const Wire::ControlFrame &frame) -> void
 {
     if (id.empty()) {
-        return; // it hasn't said who it is
+        return; // no hello with the sender's id has arrived yet
     }
     auto &state = states[id];
-    state.at = loop.now();
+    state.receivedAt = loop.now();
     if (!state.isLive) {
         state.isLive = true;
         log.line("peers", "connected").add("peer", id);
@@ -110,13 +111,13 @@
 {
     const auto now = loop.now();
     for (auto &[id, state] : states) {
-        if (!state.isLive || now - state.at < settings.silentAfter) {
+        if (!state.isLive || now - state.receivedAt < settings.silentAfter) {
             continue;
         }
         state.isLive = false;
-        log.line("peers", "silent").add("peer", id).add("for", now - state.at);
+        log.line("peers", "silent").add("peer", id).add("for", now - state.receivedAt);
         hooks.onSilent(id);
-        // The way there may be as dead as the way back: a connection can go silent without being closed.
+        // The connection to the peer may be dead too without having been closed.
         links->reconnect(id);
     }
 }
@@ -144,7 +145,7 @@
 
 auto GatewayPeers::liveCount() const -> int
 {
-    return static_cast<int>(std::count_if(d->states.begin(), d->states.end(), [](const auto &known) { return known.second.isLive; }));
+    return static_cast<int>(std::count_if(d->states.begin(), d->states.end(), [](const auto &state) { return state.second.isLive; }));
 }
 
 auto GatewayPeers::setHosts(const std::vector<ListedHost> &hosts) -> void
@@ -152,8 +153,8 @@
     auto others = hosts;
     std::erase_if(others, [&](const ListedHost &host) { return host.id == d->settings.id; });
     d->links->setHosts(others);
-    std::erase_if(d->states, [&](const auto &known) {
-        return std::none_of(others.begin(), others.end(), [&](const ListedHost &host) { return host.id == known.first; });
+    std::erase_if(d->states, [&](const auto &state) {
+        return std::none_of(others.begin(), others.end(), [&](const ListedHost &host) { return host.id == state.first; });
     });
 }
 
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -1,8 +1,8 @@
-// What gateways tell each other: several times a second what each does, at once what can't wait.
+// Control connections between gateways: messages to one or all of them, and liveness by the messages received.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks          what is received
-//   GatewayPeers   the links
+//   Hooks          callbacks and settings
+//   GatewayPeers   the connections
 #pragma once
 
 #include "net/eventlog.h"
@@ -21,8 +21,8 @@
 
 struct GatewayPeerHooks {
     std::function<void(const std::string &id, const Wire::ControlFrame &frame)> onFrame;
-    std::function<std::vector<Wire::ControlFrame>()> greeting; ///< for a peer whose connection has come up
-    std::function<void(const std::string &id)> onSilent; ///< nothing was received of it for a while
+    std::function<std::vector<Wire::ControlFrame>()> greeting; ///< messages to send to a peer whose connection has come up
+    std::function<void(const std::string &id)> onSilent; ///< nothing was received from the peer for `silentAfter`
 };
 
 struct GatewayPeerSettings {
@@ -30,7 +30,7 @@
     std::string zone;
     std::uint64_t incarnation = 0;
     Endpoint listen;
-    Duration silentAfter = Duration::millis(1500); ///< seven digests
+    Duration silentAfter = Duration::millis(1500); ///< without any message, until a peer counts as silent; seven digests
 };
 
 // [SECTION] GatewayPeers
@@ -43,14 +43,14 @@
     ~GatewayPeers();
 
     // Queries
-    auto live() const -> std::set<std::string>; ///< ids of those that are alive
+    auto live() const -> std::set<std::string>; ///< ids of the other gateways that aren't silent
 
     auto liveCount() const -> int;
 
     // Commands
-    /// All gateways that are registered, this one included.
+    /// All registered gateways, this one included.
     auto setHosts(const std::vector<ListedHost> &hosts) -> void;
-    auto setSilentAfter(Duration span) -> void; ///< without any message from a peer
+    auto setSilentAfter(Duration span) -> void;
     auto sendAll(const Wire::ControlFrame &frame) -> void;
     auto send(const std::string &id, const Wire::ControlFrame &frame) -> void;
 
--- a/src/gateway/loadexchange.cpp
+++ b/src/gateway/loadexchange.cpp
@@ -1,8 +1,8 @@
 // Index of sections (search for [SECTION]):
 //   State          members, the keeper, own reports
-//   Reporting      to the keeper
-//   Keeping        the cell's sum
-//   LoadExchange   the public face
+//   Reporting      reports to the keeper
+//   Keeping        publishing and merging the cell's sum
+//   LoadExchange   public interface
 #include "gateway/loadexchange.h"
 
 #include "core/orderlease.h"
@@ -15,13 +15,13 @@
 namespace
 {
 
-/// A gateway that hasn't reported for this long isn't chosen as a relay: ten of its reports.
-constexpr auto RelayReportsWithin = Duration::millis(500);
+/// A gateway that hasn't reported for this long isn't chosen as a relay. Ten reporting periods.
+constexpr auto RelayReportTimeout = Duration::millis(500);
 
-/// Starts of gateways are named as holders of the order lease are.
-auto hostOfStart(const EntryId &start) -> std::string
+/// Incarnations of gateways are named like holders of the order lease, "ID#INCARNATION".
+auto hostOfIncarnation(const EntryId &incarnation) -> std::string
 {
-    return gatewayIdOf(HolderName(start.text()));
+    return gatewayIdOf(HolderName(incarnation.text()));
 }
 
 } // namespace
@@ -32,9 +32,9 @@
     CellKeeper keeper;
     CellLoadSum sum;
     OwnReports ownReports;
-    int others = 0; ///< registered gateways but this one
-    EntryId lastKeeper; ///< whose sum was merged last
-    std::uint64_t lastSum = 0;
+    int others = 0; ///< number of registered gateways except this one
+    EntryId lastKeeper; ///< whose sum was last merged
+    std::uint64_t lastSequence = 0; ///< of that sum
     Timer timer;
 
     Private(LoadExchangeParts exchangeParts, LoadExchangeSettings exchangeSettings)
@@ -85,17 +85,18 @@
 
 // [SECTION] Keeping
 
-/// One gateway in each other zone.
+/// One gateway in each other zone, which passes the sum on there. Only gateways that have lately reported are chosen.
 auto LoadExchange::Private::relays() const -> std::set<std::string>
 {
     std::set<std::string> reporting;
-    for (const auto &start : sum.reportedWithin(RelayReportsWithin, parts.loop.now())) {
-        reporting.insert(hostOfStart(start));
+    for (const auto &start : sum.reportedWithin(RelayReportTimeout, parts.loop.now())) {
+        reporting.insert(hostOfIncarnation(start));
     }
     return keeper.relays(reporting);
 }
 
-/// A gateway that receives reports publishes their sum even if it has chosen another keeper: choices differ for a while after a loss.
+/// A gateway that receives reports publishes their sum even if it has chosen another keeper itself: for a while after a keeper is lost, gateways may choose
+/// different ones.
 auto LoadExchange::Private::publish() -> void
 {
     const bool isKeeper = keeper.keeper() == settings.id;
@@ -119,14 +120,14 @@
 
 auto LoadExchange::Private::mergeSum(const CellLoad &cell) -> void
 {
-    if (cell.keeper == lastKeeper && cell.sequence <= lastSum) {
+    if (cell.keeper == lastKeeper && cell.sequence <= lastSequence) {
         return; // received through two relays
     }
     if (cell.keeper != lastKeeper) {
         parts.dispatcher.gatewayGone(lastKeeper);
         lastKeeper = cell.keeper;
     }
-    lastSum = cell.sequence;
+    lastSequence = cell.sequence;
     const auto rest = ownReports.withoutOwn(cell);
     parts.dispatcher.merge(rest.work, parts.loop.now());
     parts.dispatcher.merge(rest.prefill, parts.loop.now());
@@ -180,7 +181,7 @@
             d->parts.peers.send(mate, frame);
         }
     }
-    const auto keeper = hostOfStart(cell.keeper);
+    const auto keeper = hostOfIncarnation(cell.keeper);
     d->keeper.sumReceived(keeper, d->parts.loop.now());
     if (keeper == d->keeper.keeper() || d->isDirect()) {
         d->mergeSum(cell);
--- a/src/gateway/loadexchange.h
+++ b/src/gateway/loadexchange.h
@@ -1,10 +1,11 @@
-// How gateways learn of each other's load at the targets.
+// Exchanges the load that each gateway causes at the targets.
 //
-// Up to some dozens of gateways each sends its load to each other one, with its digest. Beyond that each reports to one of them, the keeper of the cell's load
-// view (core/cellkeeper.h), which publishes the sum (core/cellload.h): to its own availability zone directly, to each other zone through one gateway there.
+// Up to some dozens of gateways, each sends its load to every other one, with its digest. Beyond that each reports to one of them, the keeper of the cell's
+// load view (core/cellkeeper.h). The keeper publishes the sum (core/cellload.h): directly in its own availability zone, and through one relay gateway in each
+// other zone.
 //
 // Index of sections (search for [SECTION]):
-//   Parts          what it needs
+//   Parts          dependencies and settings
 //   LoadExchange   the task
 #pragma once
 
@@ -36,9 +37,9 @@
 
 struct LoadExchangeSettings {
     std::string id; ///< of this gateway
-    EntryId self; ///< this start of it
-    int maxDirectPeers = 40; ///< other gateways up to which each sends its load to each
-    Duration period = Duration::millis(50); ///< of reports to the keeper, and of sums from it
+    EntryId self; ///< this incarnation of it
+    int maxDirectPeers = 40; ///< number of other gateways up to which each sends its load to every other one
+    Duration period = Duration::millis(50); ///< of reports to the keeper and of sums from it
 };
 
 // [SECTION] LoadExchange
@@ -52,11 +53,11 @@
     auto operator=(const LoadExchange &) -> LoadExchange & = delete;
 
     // Queries
-    auto isDirect() const -> bool; ///< digests to all carry this gateway's load
+    auto isDirect() const -> bool; ///< this gateway's digests carry its load to all others; no keeper is used
 
     // Commands
     auto setMembers(const std::vector<CellMember> &members) -> void; ///< all registered gateways, this one included
-    auto reportNow() -> void; ///< something was sent that others should know of before the next period
+    auto reportNow() -> void; ///< reports to the keeper before the next period: the others should soon know of a request that was sent
     auto onReport(const Wire::GatewayLoad &message) -> void;
     auto onSum(const std::string &from, const Wire::CellLoad &message) -> void;
 
--- a/src/gateway/ordertask.cpp
+++ b/src/gateway/ordertask.cpp
@@ -1,12 +1,12 @@
 // Index of sections (search for [SECTION]):
-//   State     runners, pending
-//   Lease     the row in the store
-//   Reports   what runners say when asked
-//   Orders    planned
-//   Moves     of models from one to the other on a runner
-//   Adapters  that requests wait for
-//   Sending   orders and what runners answer
-//   Task      the public face
+//   State     runner books, pending artifacts, moves
+//   Lease     the order lease's row in the store
+//   Reports   calls for runners' reports
+//   Orders    input of the copy plan, and the orders that it makes
+//   Moves     replacements of one model by another on a runner
+//   Adapters  loading of adapters that requests wait for
+//   Sending   orders to runners and their answers
+//   Task      public interface
 #include "gateway/ordertask.h"
 
 #include "core/demandhistory.h"
@@ -29,19 +29,20 @@
 
 constexpr auto LeaseKey = "orders";
 constexpr auto TickPeriod = Duration::millis(50);
-/// Targets may come and go all the time; after so many settle times planning begins all the same.
-constexpr double SettlePatience = 4;
-/// A stream of some three hundred tokens takes about that long.
-constexpr auto AdapterActive = Duration::millis(2500);
-/// An adapter that was used within this time isn't evicted for a second copy of another one: its next request would wait for it to come back.
-constexpr auto SparedForAnother = Duration::seconds(4);
+/// Multiple of the settle time after which planning begins in any case, even if new targets keep arriving.
+constexpr double MaxSettleFactor = 4;
+/// An adapter counts as in use for this long after a request used it: about the duration of a stream of 300 tokens.
+constexpr auto AdapterActiveTime = Duration::millis(2500);
+/// An adapter that was used within this time isn't evicted for a second copy of another one: its next request would have to wait until it is loaded again.
+constexpr auto RecentUseProtection = Duration::seconds(4);
 constexpr auto DemandLogPeriod = Duration::seconds(1);
-constexpr std::size_t MostLoggedModels = 12;
-constexpr auto InputLifetime = Duration::millis(100);
-/// Requests of one moment are served together; much shorter than the loading of an adapter.
+constexpr std::size_t MaxLoggedModels = 12;
+/// See input().
+constexpr auto PlanInputLifetime = Duration::millis(100);
+/// Artifacts that become pending within this time are served together; much shorter than the load of an adapter.
 constexpr auto PendingDelay = Duration::millis(1);
 
-auto textOf(const std::vector<ResidentModel> &models) -> std::string
+auto formatHeld(const std::vector<ResidentModel> &models) -> std::string
 {
     std::string text;
     for (const auto &model : models) {
@@ -53,11 +54,11 @@
     return text;
 }
 
-/// A request waits for an adapter.
+/// A pending artifact. Only adapters are served from here; models are planned together.
 struct AdapterRequest {
-    TimePoint at; ///< when it was last reported
-    int copies = 1; ///< runners that are to hold it
-    TargetId orderedOn; ///< a runner that has an order for it, answered or not; empty: none
+    TimePoint at; ///< when it was last reported as missing
+    int copies = 1; ///< number of runners that are to hold it
+    TargetId orderedOn; ///< the runner that was last sent an order for it; empty: none
     TimePoint orderedAt;
 };
 
@@ -95,14 +96,14 @@
     OrderLease lease;
     RunnerCalls calls;
     std::map<ServiceName, EngineDeclaration> engines;
-    std::map<ServiceName, LoadMeter> meters;
+    std::map<ServiceName, LoadMeter> loadMeters;
     std::map<TargetId, RunnerBook> books;
     std::map<AdapterRequestKey, AdapterRequest> pending;
-    std::map<TargetId, CopyMove> moves; ///< under way
-    AdapterUses uses;
-    DemandHistory asked;
-    std::map<ServiceName, CopyPlanInput> inputs; ///< of this moment; what they point to lives in `books` and `engines`
-    TimePoint inputsAt;
+    std::map<TargetId, CopyMove> moves; ///< in progress
+    AdapterUses adapterUses;
+    DemandHistory demandHistory;
+    std::map<ServiceName, CopyPlanInput> planInputs; ///< current ones, see input(); they point into `books` and `engines`
+    TimePoint planInputsAt;
     Timer pendingTimer;
     Timer tick;
     TimePoint plannedAt;
@@ -118,7 +119,7 @@
         , hooks(std::move(taskHooks))
         , lease(settings.self, settings.lease, parts.loop.now())
         , calls(parts.loop, parts.pool, settings.answerTimeout)
-        , asked(settings.demandKnownAfter)
+        , demandHistory(settings.demandKnownAfter)
         , startedAt(parts.loop.now())
         , newTargetAt(startedAt)
     {
@@ -133,26 +134,26 @@
     }
     auto onTick() -> void;
     auto stepLease() -> void;
-    auto noticeTenure() -> void;
-    auto askReports() -> void;
-    auto askReport(RunnerBook &book) -> void;
+    auto noteLeaseChange() -> void;
+    auto requestReports() -> void;
+    auto requestReport(RunnerBook &book) -> void;
     auto advanceBooks() -> void;
-    auto logDemand(const CopyPlanInput &made) -> void;
+    auto logDemand(const CopyPlanInput &currentInput) -> void;
     auto residencyOf(const RunnerBook &book) const -> TargetDescription;
     auto beginMove(const BegunMove &begun) -> void;
     auto endMove(const TargetId &target, const char *why) -> void;
     auto endFinishedMoves() -> void;
     auto planModels() -> void;
-    auto planSoon() -> void; ///< at the next tick, if moves are under way
+    auto planSoon() -> void; ///< at the next tick, if moves are in progress
     auto servePendingSoon() -> void;
     auto servePending() -> void;
-    auto holdersOf(const AdapterRequestKey &key) const -> int;
+    auto countRunnersWith(const AdapterRequestKey &key) const -> int;
     auto serveAdapterRequest(const AdapterRequestKey &key, AdapterRequest &request) -> bool;
-    auto updateMissing(const ServiceName &service, const CopyPlanInput &made) -> void;
-    auto addAdapters(const ServiceName &service, std::map<std::string, ModelWork> &work) const -> void;
+    auto noteMissingModels(const ServiceName &service, const CopyPlanInput &currentInput) -> void;
+    auto addActiveAdapters(const ServiceName &service, std::map<std::string, ModelWork> &work) const -> void;
     auto input(const ServiceName &service) -> const CopyPlanInput &;
     auto planInput(const ServiceName &service) -> const CopyPlanInput &;
-    auto give(const ServiceName &service, const PlannedOrder &planned) -> void;
+    auto sendOrder(const ServiceName &service, const PlannedOrder &planned) -> void;
     auto onOrderAnswer(const TargetIncarnation &target, const RunnerOrder &order, OrderVerdict verdict, int status) -> void;
     auto expectedTime(const ServiceName &service, const PlannedOrder &planned) const -> Duration;
     auto publishResidency(const RunnerBook &book) -> void;
@@ -165,14 +166,14 @@
     return found == books.end() || found->second.description().incarnation != target ? nullptr : &found->second;
 }
 
-/// With the copies that are to get no new requests.
+/// The runner's description, with replicas that must get no new requests marked as draining.
 auto OrderTask::Private::residencyOf(const RunnerBook &book) const -> TargetDescription
 {
-    auto about = book.description();
-    for (auto &held : about.models) {
-        held.isDraining = isDraining(moves, about.incarnation.id, held.name);
+    auto description = book.description();
+    for (auto &held : description.models) {
+        held.isDraining = isDraining(moves, description.incarnation.id, held.name);
     }
-    return about;
+    return description;
 }
 
 auto OrderTask::Private::publishResidency(const RunnerBook &book) -> void
@@ -188,13 +189,13 @@
         return;
     }
     stepLease();
-    noticeTenure();
+    noteLeaseChange();
     advanceBooks();
     if (!mayOrder()) {
         return;
     }
-    askReports();
-    const bool isSettled = now() - newTargetAt >= settings.settleTime || now() - startedAt >= settings.settleTime * SettlePatience;
+    requestReports();
+    const bool isSettled = now() - newTargetAt >= settings.settleTime || now() - startedAt >= settings.settleTime * MaxSettleFactor;
     if (isSettled && now() - plannedAt >= settings.planPeriod) {
         plannedAt = now();
         planModels();
@@ -233,7 +234,7 @@
     }
 }
 
-auto OrderTask::Private::noticeTenure() -> void
+auto OrderTask::Private::noteLeaseChange() -> void
 {
     const bool isHolder = lease.mayOrder(now());
     if (isHolder == wasHolder) {
@@ -246,8 +247,8 @@
         for (auto &[id, book] : books) {
             book.takenOver(now());
         }
-        asked.restart();
-        for (auto &[service, meter] : meters) {
+        demandHistory.restart();
+        for (auto &[service, meter] : loadMeters) {
             meter.reset(now());
         }
         hooks.onLeaseAcquired();
@@ -262,17 +263,17 @@
 
 // [SECTION] Reports
 
-auto OrderTask::Private::askReports() -> void
+auto OrderTask::Private::requestReports() -> void
 {
     for (auto &[id, book] : books) {
         const bool takesOrders = engines.contains(book.description().service);
         if (takesOrders && book.needsReport(now())) {
-            askReport(book);
+            requestReport(book);
         }
     }
 }
 
-auto OrderTask::Private::askReport(RunnerBook &book) -> void
+auto OrderTask::Private::requestReport(RunnerBook &book) -> void
 {
     book.reportRequested(now());
     const auto incarnation = book.description().incarnation;
@@ -295,7 +296,7 @@
             .add("running", report->running)
             .add("waiting", report->waiting)
             .add("kv", report->kvUsed)
-            .add("holds", textOf(report->models))
+            .add("holds", formatHeld(report->models))
             .add("under-way", static_cast<int>(report->adaptersLoading.size()));
         publishResidency(*runner);
         servePendingSoon();
@@ -314,73 +315,73 @@
 
 // [SECTION] Orders
 
-/// Made anew a few times a second: what it takes from demand and from other gateways' work doesn't change sooner, and making it for each request
-/// took most of the holder's processor time when many requests waited for adapters.
+/// The input that both the copy plan and the placement of adapters need. Rebuilt only a few times a second: demand and other gateways' load don't change more
+/// often, and rebuilding it for each request took most of the lease holder's processor time when many requests waited for adapters.
 auto OrderTask::Private::input(const ServiceName &service) -> const CopyPlanInput &
 {
-    if (now() - inputsAt >= InputLifetime) {
-        inputs.clear();
-        inputsAt = now();
+    if (now() - planInputsAt >= PlanInputLifetime) {
+        planInputs.clear();
+        planInputsAt = now();
     }
-    const auto [found, isNew] = inputs.try_emplace(service);
-    auto &made = found->second;
+    const auto [found, isNew] = planInputs.try_emplace(service);
+    auto &result = found->second;
     if (isNew) {
-        made.engine = &engines.at(service);
-        made.work = hooks.work(service);
-        addAdapters(service, made.work);
+        result.engine = &engines.at(service);
+        result.work = hooks.work(service);
+        addActiveAdapters(service, result.work);
         for (const auto &[id, book] : books) {
             if (book.description().service == service) {
-                made.runners.push_back(&book);
-                made.load[id] = hooks.load(id);
+                result.runners.push_back(&book);
+                result.load[id] = hooks.load(id);
                 if (hooks.isFailing(id)) {
-                    made.failing.insert(id);
+                    result.failing.insert(id);
                 }
             }
         }
     }
-    made.moves = moves;
-    return made;
+    result.moves = moves;
+    return result;
 }
 
-/// With what only the planning of models needs; adapter requests, hundreds a second, do without.
+/// The input with the fields that only the copy plan needs. Adapter requests, which may come hundreds of times a second, don't compute them.
 auto OrderTask::Private::planInput(const ServiceName &service) -> const CopyPlanInput &
 {
     input(service);
-    auto &made = inputs.at(service);
-    updateMissing(service, made);
-    made.missingSince = asked.missingSince(service);
-    made.lastRequestAt = asked.lastRequestAt();
-    made.isDemandKnown = asked.isKnown(now());
-    made.drainingStreams = hooks.drainingStreams();
-    made.estimatedStreams = hooks.estimatedStreams;
-    return made;
+    auto &result = planInputs.at(service);
+    noteMissingModels(service, result);
+    result.missingSince = demandHistory.missingSince(service);
+    result.lastRequestAt = demandHistory.lastRequestAt();
+    result.isDemandKnown = demandHistory.isKnown(now());
+    result.streams = hooks.drainingStreams();
+    result.estimatedStreams = hooks.estimatedStreams;
+    return result;
 }
 
-/// Models that are asked for and neither held nor coming.
-auto OrderTask::Private::updateMissing(const ServiceName &service, const CopyPlanInput &made) -> void
+/// Records which models are requested but neither held nor being loaded.
+auto OrderTask::Private::noteMissingModels(const ServiceName &service, const CopyPlanInput &currentInput) -> void
 {
-    std::set<std::string> there;
-    for (const auto *book : made.runners) {
+    std::set<std::string> heldOrLoading;
+    for (const auto *book : currentInput.runners) {
         for (const auto &held : book->description().models) {
-            there.insert(held.name);
+            heldOrLoading.insert(held.name);
         }
-        there.insert(book->loading().value_or(""));
+        heldOrLoading.insert(book->loading().value_or(""));
     }
-    std::set<std::string> wanted;
-    for (const auto &[model, work] : made.work) {
+    std::set<std::string> requested;
+    for (const auto &[model, work] : currentInput.work) {
         if (work.now > 0) {
-            wanted.insert(model);
+            requested.insert(model);
         }
     }
-    asked.updateMissing(service, wanted, there, now());
+    demandHistory.updateMissing(service, requested, heldOrLoading, now());
 }
 
-/// Adapters in use just now take their places for as long as their streams run: a model needs copies enough for them too.
-auto OrderTask::Private::addAdapters(const ServiceName &service, std::map<std::string, ModelWork> &work) const -> void
+/// Counts the adapters in use or pending for each model. They occupy adapter slots while their streams run, so a model needs enough replicas for them too.
+auto OrderTask::Private::addActiveAdapters(const ServiceName &service, std::map<std::string, ModelWork> &work) const -> void
 {
     std::set<std::string> active; // "MODEL/ADAPTER"
-    for (const auto &[place, usedAt] : uses) {
-        if (now() - usedAt < AdapterActive) {
+    for (const auto &[place, usedAt] : adapterUses) {
+        if (now() - usedAt < AdapterActiveTime) {
             active.insert(place.second);
         }
     }
@@ -394,27 +395,27 @@
     }
 }
 
-/// The models that are asked for most, with their copies: what the planning of this moment rests on.
-auto OrderTask::Private::logDemand(const CopyPlanInput &made) -> void
+/// Logs the models with the most demand and their number of replicas, on which the current plan is based.
+auto OrderTask::Private::logDemand(const CopyPlanInput &currentInput) -> void
 {
     if (now() - demandLoggedAt < DemandLogPeriod) {
         return;
     }
     demandLoggedAt = now();
     std::vector<std::pair<double, std::string>> ranked;
-    for (const auto &one : made.work) {
+    for (const auto &one : currentInput.work) {
         const auto &work = one.second;
         const auto holds = [&](const RunnerBook *runner) {
             return runner->description().model(one.first) != nullptr;
         };
-        const auto copies = std::count_if(made.runners.begin(), made.runners.end(), holds);
+        const auto copies = std::count_if(currentInput.runners.begin(), currentInput.runners.end(), holds);
         std::array<char, 64> text {};
         std::snprintf(text.data(), text.size(), ":%.2f>%.2f/%d", work.now, work.soon, static_cast<int>(copies));
         ranked.emplace_back(std::max(work.now, work.soon), one.first + text.data());
     }
     std::sort(ranked.rbegin(), ranked.rend());
     std::string list;
-    for (std::size_t i = 0; i < std::min(ranked.size(), MostLoggedModels); ++i) {
+    for (std::size_t i = 0; i < std::min(ranked.size(), MaxLoggedModels); ++i) {
         list += (i == 0 ? "" : ",") + ranked[i].second;
     }
     parts.log.line("orders", "demand").add("work-now>soon/copies", list);
@@ -423,9 +424,9 @@
 auto OrderTask::Private::planModels() -> void
 {
     for (const auto &[service, engine] : engines) {
-        const auto &made = planInput(service);
-        logDemand(made);
-        const auto plan = planCopies(made, settings.plan, meters[service].available(now()), now());
+        const auto &currentInput = planInput(service);
+        logDemand(currentInput);
+        const auto plan = planCopies(currentInput, settings.plan, loadMeters[service].available(now()), now());
         for (const auto &target : plan.aborted) {
             endMove(target, "nothing-gained");
         }
@@ -433,7 +434,7 @@
             beginMove(begun);
         }
         for (const auto &planned : plan.orders) {
-            give(service, planned);
+            sendOrder(service, planned);
         }
     }
     endFinishedMoves();
@@ -480,7 +481,7 @@
     }
 }
 
-/// One whose runner is gone, leaves or started anew must not go on counting as a copy to come.
+/// Ends moves that are done, and those whose runner is gone, leaves or fails: they must no longer count as a replica to come.
 auto OrderTask::Private::endFinishedMoves() -> void
 {
     std::vector<std::pair<TargetId, const char *>> ended;
@@ -516,8 +517,8 @@
     }
 }
 
-/// Runners that hold the adapter, or soon will.
-auto OrderTask::Private::holdersOf(const AdapterRequestKey &key) const -> int
+/// Runners that hold the adapter or are loading it.
+auto OrderTask::Private::countRunnersWith(const AdapterRequestKey &key) const -> int
 {
     int holders = 0;
     for (const auto &[id, book] : books) {
@@ -528,27 +529,27 @@
     return holders;
 }
 
-/// True if nothing more is to be done for it.
+/// True if enough runners hold the adapter, so that the request is complete.
 auto OrderTask::Private::serveAdapterRequest(const AdapterRequestKey &key, AdapterRequest &request) -> bool
 {
     const auto &[service, model, adapter] = key;
     if (adapter.empty() || !engines.contains(service)) {
-        return false; // models are planned together
+        return false; // models are loaded by planModels()
     }
-    const int holders = holdersOf(key);
-    if (holders >= request.copies) {
+    const int copies = countRunnersWith(key);
+    if (copies >= request.copies) {
         return true;
     }
-    // One order at a time for it: while an adapter is evicted on one runner, others would on the next ones.
+    // One order at a time: while one runner evicts an adapter to free a slot, further orders would evict adapters on other runners.
     const auto ordered = books.find(request.orderedOn);
     if (ordered != books.end() && ordered->second.isCallPending() && now() - request.orderedAt < settings.answerTimeout) {
         return false;
     }
-    const auto spared = holders > 0 ? SparedForAnother : Duration();
-    if (const auto planned = placeAdapter(input(service), model, adapter, uses, spared, now())) {
+    const auto protectedFor = copies > 0 ? RecentUseProtection : Duration();
+    if (const auto planned = placeAdapter(input(service), model, adapter, adapterUses, protectedFor, now())) {
         request.orderedOn = planned->target;
         request.orderedAt = now();
-        give(service, *planned);
+        sendOrder(service, *planned);
     }
     return false;
 }
@@ -575,29 +576,29 @@
     return declared->loadTime;
 }
 
-auto OrderTask::Private::give(const ServiceName &service, const PlannedOrder &planned) -> void
+auto OrderTask::Private::sendOrder(const ServiceName &service, const PlannedOrder &planned) -> void
 {
     const auto found = books.find(planned.target);
     if (found == books.end() || !mayOrder()) {
         return;
     }
     auto &book = found->second;
-    const auto &about = book.description();
+    const auto &description = book.description();
     if (!book.mayOrder(planned.order, engines.at(service), now())) {
         parts.log.line("orders", "not-allowed").add("target", planned.target.text()).add("model", planned.order.model).add("adapter", planned.order.adapter);
         return;
     }
     if (planned.order.isLoad && planned.order.adapter.empty() && planned.source == WeightSource::Store) {
-        meters[service].began(now());
-    }
-    OrderRequest text;
-    text.isLoad = planned.order.isLoad;
-    text.model = planned.order.model;
-    text.adapter = planned.order.adapter;
-    text.expectedOrders = book.ordersTaken();
-    text.holder = settings.self.text();
-    text.fence = lease.fence();
-    text.target = planned.target;
+        loadMeters[service].began(now());
+    }
+    OrderRequest request;
+    request.isLoad = planned.order.isLoad;
+    request.model = planned.order.model;
+    request.adapter = planned.order.adapter;
+    request.expectedOrders = book.ordersTaken();
+    request.holder = settings.self.text();
+    request.fence = lease.fence();
+    request.target = planned.target;
     parts.log.line("orders", planned.order.isLoad ? "load" : "unload")
         .add("target", planned.target.text())
         .add("model", planned.order.model)
@@ -607,11 +608,11 @@
         .add("source", planned.order.isLoad ? toString(planned.source) : "-")
         .add("work", planned.work)
         .add("copies", planned.copies)
-        .add("after", text.expectedOrders)
+        .add("after", request.expectedOrders)
         .add("fence", lease.fence().value());
     book.ordered(planned.order, expectedTime(service, planned), now());
-    const auto incarnation = about.incarnation;
-    calls.start(about.address, parts.protocol.orderCall(text), [this, incarnation, order = planned.order](int status, const std::string & /*body*/) {
+    const auto incarnation = description.incarnation;
+    calls.start(description.address, parts.protocol.orderCall(request), [this, incarnation, order = planned.order](int status, const std::string & /*body*/) {
         const auto verdict = status == 0 ? OrderVerdict::Unclear : parts.protocol.readOrderAnswer(status);
         onOrderAnswer(incarnation, order, verdict, status);
     });
@@ -693,14 +694,14 @@
 
 auto OrderTask::adoptEngine(const ServiceName &service, const EngineDeclaration &engine) -> void
 {
-    d->inputs.clear();
+    d->planInputs.clear();
     d->engines[service] = engine;
-    d->meters[service].setRate(engine.loadsPerSecond, d->settings.loadWindow, d->settings.loadOvershoot);
+    d->loadMeters[service].setRate(engine.loadsPerSecond, d->settings.loadWindow, d->settings.loadOvershoot);
 }
 
 auto OrderTask::targetSeen(const TargetDescription &target) -> void
 {
-    d->inputs.clear();
+    d->planInputs.clear();
     auto [found, isNew] = d->books.try_emplace(target.incarnation.id);
     auto &book = found->second;
     d->newTargetAt = isNew ? d->now() : d->newTargetAt;
@@ -710,10 +711,10 @@
 
 auto OrderTask::targetGone(const TargetId &target) -> void
 {
-    d->inputs.clear();
+    d->planInputs.clear();
     d->endMove(target, "runner-lost");
     d->books.erase(target);
-    std::erase_if(d->uses, [&](const auto &use) { return use.first.first == target; });
+    std::erase_if(d->adapterUses, [&](const auto &use) { return use.first.first == target; });
 }
 
 auto OrderTask::addPending(const ServiceName &service, const std::string &model, const std::string &adapter) -> void
@@ -737,7 +738,7 @@
         const auto *held = book.description().model(model);
         const bool isHeld = held != nullptr && (adapter.empty() || held->hasAdapter(adapter));
         if (isHeld && !isDraining(d->moves, id, model) && book.description().service == service) {
-            // Another gateway got a different report from the runner itself, or none yet.
+            // The requesting gateway found that the runner doesn't hold it, or hasn't received the runner's residency yet.
             book.invalidate(d->now());
             d->publishResidency(book);
         }
@@ -756,12 +757,12 @@
 
 auto OrderTask::modelRequested(const std::string &model) -> void
 {
-    d->asked.modelRequested(model, d->now());
+    d->demandHistory.modelAsked(model, d->now());
 }
 
 auto OrderTask::adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void
 {
-    d->uses[{target, model + "/" + adapter}] = d->now();
+    d->adapterUses[{target, model + "/" + adapter}] = d->now();
 }
 
 auto OrderTask::residencies() const -> std::vector<TargetDescription>
--- a/src/gateway/ordertask.h
+++ b/src/gateway/ordertask.h
@@ -1,7 +1,10 @@
-// Gives runners their orders, in the one gateway that holds the lease; in the others it only follows what runners hold.
+// Orders runners to load and unload models and adapters.
+//
+// Only the gateway that holds the order lease (core/orderlease.h) gives orders. In the others this task tracks what runners hold and keeps the artifacts that
+// requests wait for, so that they can be passed to the next lease holder.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks       what it needs and tells
+//   Hooks       dependencies, callbacks and settings
 //   OrderTask   the task
 #pragma once
 
@@ -34,34 +37,34 @@
 };
 
 struct OrderTaskHooks {
-    std::function<std::map<std::string, ModelWork>(const ServiceName &service)> work; ///< by model
-    std::function<double(const TargetId &target)> load; ///< the share of its slots in use
-    std::function<bool(const TargetId &target)> isFailing; ///< requests don't get through to it
-    std::function<void(const std::map<TargetId, CopyMove> &moves)> onMoves; ///< those under way have changed
-    std::function<std::map<CopyKey, int>()> drainingStreams; ///< under way at draining replicas, as all gateways reported
-    std::function<double(const CopyKey &copy)> estimatedStreams; ///< under way at any copy
-    /// What a runner holds has changed; known here before its row says so.
+    std::function<std::map<std::string, ModelWork>(const ServiceName &service)> work; ///< demand by model
+    std::function<double(const TargetId &target)> load; ///< share of the target's slots in use
+    std::function<bool(const TargetId &target)> isFailing; ///< the target is ejected because requests to it fail
+    std::function<void(const std::map<TargetId, CopyMove> &moves)> onMoves; ///< the moves in progress have changed
+    std::function<std::map<CopyKey, int>()> drainingStreams; ///< in flight at draining replicas, summed over all gateways
+    std::function<double(const CopyKey &copy)> estimatedStreams; ///< in flight at any replica, over all gateways, estimated from this gateway's own
+    /// The models or adapters that a runner holds have changed. The runner's row in the store shows it only later.
     std::function<void(const TargetDescription &target)> onResidency;
-    /// This gateway may give orders from now on: others are to be notified at once, as they send their pending requests only then.
+    /// This gateway may give orders from now on. The other gateways must learn it at once: only then do they send the artifacts that requests wait for.
     std::function<void()> onLeaseAcquired;
 };
 
 struct OrderTaskSettings {
-    HolderName self;
+    HolderName self; ///< this incarnation of this gateway
     OrderLeaseOptions lease;
-    Duration loadWindow = Duration::seconds(5);
-    double loadOvershoot = 1;
+    Duration loadWindow = Duration::seconds(5); ///< over which loads from the weight store are counted
+    double loadOvershoot = 1; ///< factor on the declared load rate
     CopyPlanOptions plan;
-    Duration planPeriod = Duration::millis(100); ///< between two looks at models; the quickest load takes some four times as long
-    Duration answerTimeout = Duration::millis(250); ///< of an order or a report; an order is answered before it is carried out
-    Duration settleTime = Duration::millis(1500); ///< after the last new target until models are planned: at a start their rows come in over seconds
-    Duration demandKnownAfter = Duration::seconds(3); ///< of the first request that is counted: six of the forecast's buckets
-    Duration pendingLifetime = Duration::millis(1500); ///< a request that waits for an adapter is refused before that
+    Duration planPeriod = Duration::millis(100); ///< between two rounds of model planning; the quickest load takes about four times as long
+    Duration answerTimeout = Duration::millis(250); ///< of an order or a report call; a runner answers an order before it carries it out
+    Duration settleTime = Duration::millis(1500); ///< from the last new target until models are planned: at start-up, target rows arrive over several seconds
+    Duration demandKnownAfter = Duration::seconds(3); ///< from the first request until models without any count as unused; six buckets of the forecast
+    Duration pendingLifetime = Duration::millis(1500); ///< of a missing artifact since it was last reported; a request that waits for it is rejected sooner
 };
 
 // [SECTION] OrderTask
 
-/// What a request waits for.
+/// A model or an adapter that a request waits for.
 struct MissingArtifact {
     ServiceName service;
     std::string model;
@@ -77,29 +80,30 @@
     auto operator=(const OrderTask &) -> OrderTask & = delete;
 
     // Queries
-    auto mayOrder() const -> bool;
+    auto mayOrder() const -> bool; ///< this gateway may give orders now
     auto lease() const -> const OrderLease &;
 
-    auto pendingArtifacts() const -> std::vector<MissingArtifact>; ///< what requests waited for within the last moments
+    auto pendingArtifacts() const -> std::vector<MissingArtifact>; ///< that requests waited for within `pendingLifetime`
 
     // Commands
-    auto lease() -> OrderLease &; ///< for what other gateways say
-    /// Another gateway has reported its streams at draining replicas: one may have none any more.
+    auto lease() -> OrderLease &; ///< to apply what other gateways report
+    /// Plans models at the next tick if moves are in progress. To be called when another gateway has reported its streams at draining replicas: the last one
+    /// may have ended.
     auto planSoon() -> void;
-    auto adoptEngine(const ServiceName &service, const EngineDeclaration &engine) -> void;
+    auto adoptEngine(const ServiceName &service, const EngineDeclaration &engine) -> void; ///< new or changed declaration of a service's runners
     auto targetSeen(const TargetDescription &target) -> void;
     auto targetGone(const TargetId &target) -> void;
-    /// A request waits for a model or an adapter, and another gateway gives orders, or none yet: kept for the next holder.
+    /// Keeps a missing artifact for the next lease holder. For gateways that may not give orders.
     auto addPending(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
-    /// Likewise, and this gateway gives the orders.
+    /// A request waits for a model or an adapter: orders it to be loaded. For the lease holder.
     auto artifactMissing(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
-    /// The only runner with an adapter is too busy to answer a request for it in time: it is loaded on a second one.
+    /// The only runner with an adapter is too busy to answer a request for it in time: orders the adapter to be loaded on a second runner.
     auto adapterOverloaded(const ServiceName &service, const std::string &model, const std::string &adapter) -> void;
     auto adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void;
-    auto modelRequested(const std::string &model) -> void; ///< requests for it have come, here or at another gateway
-    /// What runners hold, as far as it is known here: for gateways that have just come up.
+    auto modelRequested(const std::string &model) -> void; ///< requests for it have arrived, here or at another gateway
+    /// What runners hold, as far as known here. Sent to gateways that have just connected.
     auto residencies() const -> std::vector<TargetDescription>;
-    /// No orders from here on: this process stops.
+    /// Gives no more orders: this process is about to exit.
     auto stop() -> void;
 
     struct Private;
--- a/src/gateway/protocol.h
+++ b/src/gateway/protocol.h
@@ -1,12 +1,13 @@
-// What an entry that reaches targets directly has to know of the deployment it runs in: how its requests, answers, rows and orders are
-// spelled. A deployment's adapter fills in the hooks; they translate and decide nothing.
+// The protocol of the deployment that a gateway runs in: how requests, answers, the store's rows and orders to runners are encoded.
+//
+// The deployment's adapter provides the functions. They only translate between its formats and the types here; all decisions are made by the gateway.
 //
 // Index of sections (search for [SECTION]):
-//   Requests   what a request says beside its route
-//   Answers    what an answer says beside its status
-//   Store      rows that last, changed under conditions and watched
-//   Orders     to a runner's engine
-//   Protocol   all of it
+//   Requests   metadata of requests, from clients and to targets
+//   Answers    metadata of targets' answers
+//   Store      tables, reads, watches and conditional changes
+//   Orders     load and unload orders to runners
+//   Protocol   all functions that an adapter provides
 #pragma once
 
 #include "core/accounts.h"
@@ -31,56 +32,58 @@
 
 // [SECTION] Requests
 
+/// What a client's request says in its headers.
 struct RequestTraits {
-    AttemptId attempt; ///< the client's id of this try; empty: none given
-    std::optional<Duration> timeBudget; ///< how long the client waits, from its sending; nothing: not said, or not readable
+    AttemptId attempt; ///< the client's id of this attempt; empty: not given
+    std::optional<Duration> timeBudget; ///< how long the client waits, counted from when it sent the request; nothing: not given, or malformed
     bool isTimeBudgetMalformed = false;
     std::string model; ///< empty: the request needs none
     std::string adapter; ///< of that model; empty: none
     int promptTokens = 0;
     int maxOutputTokens = 0;
-    std::vector<PromptPart> promptParts; ///< in the prompt's order; the last is the request's or its session's own
-    std::string lastEventId; ///< a stream that is to go on after this event; empty: from its start
-    std::optional<std::string> authorization; ///< how the request presents its key; empty: in more than one way
+    std::vector<PromptPart> promptParts; ///< in the prompt's order; the last belongs to this request or its session alone
+    std::string lastEventId; ///< the stream is to resume after this event; empty: from its start
+    std::optional<std::string> authorization; ///< the header with the client's key; an empty text: the header occurs more than once
 };
 
-/// What the entry adds for the target.
+/// What the gateway sets in the request to the target.
 struct ForwardTraits {
-    Duration timeBudget; ///< what is left of it
-    TargetId target; ///< any other target at that address must refuse
-    std::optional<int> urgency; ///< 0 to 9, 0 first
-    std::string lastEventId; ///< replaces the client's; empty: none
-    bool hasAccounts = false; ///< keys, and the account's name, are between the client and this entry
-    AccountName account; ///< on whose behalf the request runs; empty: nobody's
+    Duration timeBudget; ///< what is left of the client's time budget
+    TargetId target; ///< any other target at that address must refuse the request
+    std::optional<int> urgency; ///< 0 to 9; 0 is the most urgent
+    std::string lastEventId; ///< replaces the client's; empty: the client's stays
+    bool hasAccounts = false; ///< accounts are in use: headers with a key or an account name from the client aren't forwarded
+    AccountName account; ///< for which the request runs; empty: none
 };
 
 // [SECTION] Answers
 
+/// What a target's answer says in its status and headers.
 struct AnswerTraits {
-    AttemptId attempt; ///< the id that the target read; empty: none given
-    bool isSigned = false; ///< bears the target's signature
+    AttemptId attempt; ///< the attempt id that the target read; empty: not given
+    bool isSigned = false; ///< has the target's signature
     bool isNotRun = false; ///< the target says that it did not run the request and never will
-    bool isMisdirected = false; ///< another target than the one meant has this address, or it lacks what the request needs
-    bool isEncoded = false; ///< the body isn't the plain one that was asked for
-    TargetId target; ///< who answered, where that is said
+    bool isMisdirected = false; ///< another target has this address, or the target lacks the model or adapter that the request needs
+    bool isEncoded = false; ///< the body has a content encoding, although a plain one was requested
+    TargetId target; ///< that answered; empty: not given
 };
 
 // [SECTION] Store
 
 struct StorePage {
     std::vector<StoredRow> rows;
-    bool hasMore = false; ///< only for reads: rows behind the last one
+    bool hasMore = false; ///< reads only: there are rows after the last one
     RowVersion upTo; ///< the store's newest version as of this answer
 };
 
-/// One row to be changed, if it still has the version that is expected (0: if there is none).
+/// A conditional change of one row: made only if the row still has the expected version (0: if there is no row).
 struct StoreChange {
     std::string key;
-    std::optional<RowVersion> expected; ///< nothing: whatever it is
+    std::optional<RowVersion> expected; ///< nothing: any version
     std::optional<std::string> value; ///< nothing: the row is removed
 };
 
-/// A call to the store or a runner, ready to be sent.
+/// An HTTP request to the store or a runner, ready to be sent.
 struct EncodedCall {
     std::string method;
     std::string target; ///< path and query
@@ -88,21 +91,21 @@
     std::string body;
 };
 
-/// The tables of the store that matter to an entry.
+/// The tables of the store that a gateway uses.
 enum class StoreTable {
-    Declarations, ///< the operators' documents; read only
+    Declarations, ///< the operators' declarations; read only
     Targets, ///< one row for each target; read only
-    Gateways, ///< our own: one row for each entry
-    Leases, ///< our own; not watched: only who wants a lease looks at it
+    Gateways, ///< written by gateways: one row for each
+    Leases, ///< written by gateways; not watched: only a gateway that wants a lease reads it
 };
 
 struct StoreFormat {
-    std::function<EncodedCall(StoreTable table, const std::string &from)> readCall; ///< rows with keys from `from` on
+    std::function<EncodedCall(StoreTable table, const std::string &from)> readCall; ///< reads rows with keys from `from` on
     std::function<EncodedCall(StoreTable table, RowVersion after, Duration wait)> watchCall;
     std::function<EncodedCall(StoreTable table, const std::vector<StoreChange> &changes)> changeCall;
     std::function<std::optional<StorePage>(const std::string &body)> decodePage; ///< nothing: unreadable
     std::function<std::optional<RowVersion>(const std::string &body)> decodeChangeVersion; ///< the version that the written rows have
-    std::string trafficKey; ///< the row of StoreTable::Operators that holds the traffic
+    std::string trafficKey; ///< key of the row in StoreTable::Declarations that declares routes, services and accounts (core/traffic.h)
 };
 
 // [SECTION] Orders
@@ -111,20 +114,20 @@
     bool isLoad = true; ///< else an unload
     std::string model;
     std::string adapter; ///< empty: the model itself
-    std::uint64_t expectedOrders = 0; ///< the runner refuses if it has taken another number of orders
-    std::string holder; ///< who gives it
-    Fence fence; ///< of the holder's lease
-    TargetId target; ///< any other target at that address must refuse
+    std::uint64_t expectedOrders = 0; ///< orders that the runner has accepted before; it refuses this one if it counts another number
+    std::string holder; ///< the lease holder that gives the order
+    Fence fence; ///< fencing token of its lease
+    TargetId target; ///< any other target at that address must refuse the order
 };
 
 enum class OrderVerdict {
-    Started, ///< accepted, under way
-    Done, ///< accepted and done, or it held already
-    Busy, ///< another order is under way, or the number of orders differs
-    Fenced, ///< a newer holder has given orders
+    Started, ///< accepted, in progress
+    Done, ///< accepted and done, or the runner held the artifact already
+    Busy, ///< another order is in progress, or the number of accepted orders differs
+    Fenced, ///< a newer lease holder has given orders
     Elsewhere, ///< another target has this address
-    Invalid, ///< the order makes no sense there
-    Unclear, ///< any other answer
+    Invalid, ///< the order isn't valid for this runner
+    Unclear, ///< any other answer, or none: the order may still take effect
 };
 auto toString(OrderVerdict verdict) -> const char *;
 
@@ -132,17 +135,17 @@
 
 struct Protocol {
     std::function<RequestTraits(const HttpHead &head)> readRequest;
-    /// Takes out what the system sets itself or a client must not set, and adds what the target is to know.
+    /// Removes headers that the gateway sets itself or that a client must not set, and adds those for the target.
     std::function<void(HttpHeaders &headers, const ForwardTraits &traits)> rewriteRequest;
     std::function<AnswerTraits(const HttpHead &head)> readAnswer;
-    /// Headers of an answer of the entry's own: `retryAfter` says when the client may come back.
+    /// Headers of an answer that the gateway itself gives. `retryAfter`: when the client may try again.
     std::function<HttpHeaders(const AttemptId &attempt, std::optional<Duration> retryAfter)> ownAnswerHeaders;
 
     std::function<Checked<Traffic>(const std::string &document)> decodeTraffic;
-    /// Nothing: the row names no target to use.
+    /// Nothing: the row describes no usable target.
     std::function<std::optional<TargetDescription>(const std::string &key, const std::string &document)> decodeTarget;
 
-    EncodedCall reportCall; ///< asks a runner for its report
+    EncodedCall reportCall; ///< requests a runner's report
     std::function<std::optional<RunnerReport>(const std::string &body)> decodeReport;
     std::function<EncodedCall(const OrderRequest &order)> orderCall;
     std::function<OrderVerdict(int status)> readOrderAnswer;
--- a/src/gateway/registration.cpp
+++ b/src/gateway/registration.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr auto WritePause = Duration::millis(500); ///< after a write that failed
+constexpr auto WriteRetryDelay = Duration::millis(500); ///< after a write, until it is made again unless the watch has shown the row
 
-auto rowText(const RegistrationSettings &settings) -> std::string
+auto encodeRow(const RegistrationSettings &settings) -> std::string
 {
     return dumpJson({{"peers", toString(settings.peerEndpoint)}, {"zone", settings.zone.text()}, {"processor", settings.processorShare}});
 }
@@ -26,15 +26,15 @@
     RegistrationSettings settings;
     RegistrationHooks hooks;
     std::map<std::string, ListedHost> hosts;
-    Timer again;
+    Timer retryTimer;
     bool isWriting = false;
 
-    Private(EventLoop &ownerLoop, StoreClient &storeClient, EventLog &eventLog, RegistrationSettings self, RegistrationHooks tell)
+    Private(EventLoop &ownerLoop, StoreClient &storeClient, EventLog &eventLog, RegistrationSettings self, RegistrationHooks registrationHooks)
         : loop(ownerLoop)
         , store(storeClient)
         , log(eventLog)
         , settings(std::move(self))
-        , hooks(std::move(tell))
+        , hooks(std::move(registrationHooks))
     {
     }
     auto applyRow(const StoredRow &row) -> void;
@@ -74,7 +74,7 @@
     ensureOwnRow();
 }
 
-/// Written if it is missing or names another address: a host that was replaced may come back under its old name.
+/// Writes this gateway's row if it is missing or has another address: a replaced host may come back under the same id.
 auto Registration::Private::ensureOwnRow() -> void
 {
     const auto own = hosts.find(settings.id);
@@ -82,10 +82,10 @@
         return;
     }
     isWriting = true;
-    store.change(StoreTable::Gateways, {{settings.id, std::nullopt, rowText(settings)}}, [this](const StoreAnswer &answer) {
+    store.change(StoreTable::Gateways, {{settings.id, std::nullopt, encodeRow(settings)}}, [this](const StoreAnswer &answer) {
         log.line("peers", "registered").add("end", toString(answer.outcome));
-        // The watch shows the row; if it doesn't, the write is made again.
-        again = loop.after(WritePause, [this] {
+        // A successful write shows in the watched table. If it doesn't show by then, the write is made again.
+        retryTimer = loop.after(WriteRetryDelay, [this] {
             isWriting = false;
             ensureOwnRow();
         });
--- a/src/gateway/registration.h
+++ b/src/gateway/registration.h
@@ -1,4 +1,4 @@
-// Where gateways find each other: each writes a row with its address into the store, and all follow those rows.
+// Discovery of the other gateways: each gateway writes a row with its address into the store, and all follow these rows.
 #pragma once
 
 #include "core/membership.h"
@@ -15,13 +15,13 @@
 struct RegistrationSettings {
     std::string id;
     ZoneName zone;
-    Endpoint peerEndpoint; ///< where it listens for the others
+    Endpoint peerEndpoint; ///< where it listens for other gateways
     std::uint64_t incarnation = 0;
-    double processorShare = 1; ///< cores that are this gateway's own
+    double processorShare = 1; ///< cores that only this gateway uses
 };
 
 struct RegistrationHooks {
-    std::function<void(const std::vector<ListedHost> &hosts)> onGatewaysChanged; ///< all that are registered, this one included
+    std::function<void(const std::vector<ListedHost> &hosts)> onGatewaysChanged; ///< all registered gateways, this one included
 };
 
 class Registration
@@ -30,7 +30,7 @@
     Registration(EventLoop &loop, StoreClient &store, EventLog &log, RegistrationSettings settings, RegistrationHooks hooks);
     ~Registration();
 
-    /// Rows of gateways that changed, or are gone.
+    /// Rows of gateways that were changed or removed. Writes this gateway's own row if it is missing or outdated.
     auto applyRows(const std::vector<StoredRow> &rows) -> void;
 
     struct Private;
--- a/src/gateway/runnercalls.h
+++ b/src/gateway/runnercalls.h
@@ -1,4 +1,4 @@
-// Calls to runners whose whole, small answer is wanted: orders and load reports. Each ends within its time, answered or not.
+// Short HTTP calls to runners: orders and load reports. The answer is collected whole; each call ends within its timeout, answered or not.
 #pragma once
 
 #include "core/endpoint.h"
@@ -16,7 +16,7 @@
 class RunnerCalls
 {
 public:
-    /// `status`: 0 if there was no whole answer in time.
+    /// `status`: 0 if no complete answer arrived in time.
     using Done = std::function<void(int status, const std::string &body)>;
 
     RunnerCalls(EventLoop &loop, HttpPool &pool, Duration timeout);
--- a/src/gateway/storeclient.cpp
+++ b/src/gateway/storeclient.cpp
@@ -14,14 +14,14 @@
 {
 
 constexpr int FirstClientError = 400;
-/// A watch that is answered no sooner than its wait, and this much later.
+/// A watch call may take its whole wait; it times out this much later.
 constexpr auto WatchMargin = Duration::seconds(1);
 
 } // namespace
 
-auto toString(StoreOutcome end) -> const char *
+auto toString(StoreOutcome outcome) -> const char *
 {
-    switch (end) {
+    switch (outcome) {
     case StoreOutcome::Done:
         return "done";
     case StoreOutcome::Conflict:
@@ -48,7 +48,7 @@
     bool isReached = true;
     std::function<void()> *onUnreachable = nullptr;
 
-    auto noteEnd(StoreOutcome end) -> void;
+    auto recordOutcome(StoreOutcome outcome) -> void;
 
     using Decode = std::function<bool(const std::string &body, StoreAnswer &answer)>;
 
@@ -65,7 +65,7 @@
 namespace
 {
 
-/// One call under way: its answer as far as it has come.
+/// A call in flight, and the part of its answer that has arrived.
 struct StoreCall : CollectedAnswer {
     std::shared_ptr<PooledHandle> handle;
     Timer timer;
@@ -81,7 +81,7 @@
     }
 };
 
-auto endOfStatus(int status) -> StoreOutcome
+auto outcomeOfStatus(int status) -> StoreOutcome
 {
     if (status == HttpStatus::Ok) {
         return StoreOutcome::Done;
@@ -107,7 +107,7 @@
     pooled.onEnd = [weak = weak_from_this(), state, decode = std::move(decode)](const PooledEnd &end) {
         StoreAnswer answer;
         if (end.end == CallEnd::Complete) {
-            answer.outcome = endOfStatus(state->status);
+            answer.outcome = outcomeOfStatus(state->status);
 
             if (answer.outcome == StoreOutcome::Done && !decode(state->body, answer)) {
                 answer.outcome = StoreOutcome::Unclear;
@@ -116,7 +116,7 @@
             answer.outcome = end.end == CallEnd::NotSent ? StoreOutcome::Refused : StoreOutcome::Unclear;
         }
         if (const auto self = weak.lock()) {
-            self->noteEnd(answer.outcome);
+            self->recordOutcome(answer.outcome);
         }
         state->finish(answer);
     };
@@ -125,20 +125,20 @@
             state->handle->cancel();
         }
         if (const auto self = weak.lock()) {
-            self->noteEnd(StoreOutcome::Unclear);
+            self->recordOutcome(StoreOutcome::Unclear);
         }
         state->finish({});
     });
     state->handle = pool.start(std::move(pooled));
 }
 
-auto StoreClient::Private::noteEnd(StoreOutcome end) -> void
+auto StoreClient::Private::recordOutcome(StoreOutcome outcome) -> void
 {
-    const bool wasReached = std::exchange(isReached, end != StoreOutcome::Refused && end != StoreOutcome::Unclear);
+    const bool wasReached = std::exchange(isReached, outcome != StoreOutcome::Refused && outcome != StoreOutcome::Unclear);
     if (isReached) {
         lastAnswerAt = loop.now();
     }
-    // Also the moment of its return counts: rows that lapsed meanwhile come back only after it.
+    // Also called when the store is reachable again: rows that it dropped while it was unreachable come back only after that.
     if ((!isReached || !wasReached) && onUnreachable != nullptr && *onUnreachable) {
         (*onUnreachable)();
     }
@@ -217,12 +217,12 @@
     TableWatchHooks hooks;
     Backoff backoff;
     std::minstd_rand random;
-    Timer again;
-    std::vector<StoredRow> gathered; // pages of a read under way
-    std::optional<RowVersion> readVersion; // of its first page
+    Timer nextCallTimer;
+    std::vector<StoredRow> pageRows; // rows of the pages read so far
+    std::optional<RowVersion> readVersion; // version of the first page of that read
     RowVersion version;
-    Duration pause; // after an answer with changes
-    std::uint64_t round = 0; // answers to calls of an earlier round are ignored
+    Duration pause; // between an answer with changes and the next watch call
+    std::uint64_t round = 0; // rises with each start and failure; answers to calls of an earlier round are ignored
     bool isLoaded = false;
     bool isReached = false;
 
@@ -260,7 +260,7 @@
 {
     ++round;
     if (fromScratch || !isLoaded) {
-        gathered.clear();
+        pageRows.clear();
         readVersion.reset();
         readPage("");
     } else {
@@ -281,17 +281,17 @@
         return;
     }
     setReached(true);
-    // Rows of later pages may be newer than the first page's version; the watch from there brings them once more.
+    // Rows of later pages may be newer than the first page's version. The watch starts from that version and returns them once more.
     readVersion = readVersion.value_or(answer.page.upTo);
-    gathered.insert(gathered.end(), answer.page.rows.begin(), answer.page.rows.end());
+    pageRows.insert(pageRows.end(), answer.page.rows.begin(), answer.page.rows.end());
     if (answer.page.hasMore && !answer.page.rows.empty()) {
         readPage(answer.page.rows.back().key + '\0');
         return;
     }
     version = *readVersion;
     isLoaded = true;
-    const auto rows = std::move(gathered);
-    gathered.clear();
+    const auto rows = std::move(pageRows);
+    pageRows.clear();
     hooks.onTable(rows, version);
     watch();
 }
@@ -319,7 +319,7 @@
     if (answer.page.rows.empty() || pause == Duration()) {
         watch();
     } else {
-        again = loop.after(pause, [this] { watch(); });
+        nextCallTimer = loop.after(pause, [this] { watch(); });
     }
     if (!answer.page.rows.empty()) {
         hooks.onChanges(answer.page.rows);
@@ -344,7 +344,7 @@
         log.line("store", "lost").add("table", static_cast<int>(table)).add("why", toString(why)).add("version", version.value());
     }
     setReached(false);
-    again = loop.after(backoff.next(random), [this] { start(false); });
+    nextCallTimer = loop.after(backoff.next(random), [this] { start(false); });
 }
 
 TableWatch::TableWatch(EventLoop &loop, StoreClient &client, EventLog &log, StoreTable table, TableWatchOptions options, TableWatchHooks hooks)
@@ -377,14 +377,14 @@
 
 auto TableWatch::renew() -> void
 {
-    d->again.cancel();
+    d->nextCallTimer.cancel();
     d->setReached(false);
     d->start(false);
 }
 
 auto TableWatch::reload() -> void
 {
-    d->again.cancel();
+    d->nextCallTimer.cancel();
     d->start(true);
 }
 
--- a/src/gateway/storeclient.h
+++ b/src/gateway/storeclient.h
@@ -1,10 +1,10 @@
-// The deployment's store as a gateway uses it: rows read, watched, and changed under conditions. The store may be slow, away, refuse this
-// host alone, or lose an answer after the change was made.
+// Client of the deployment's key-value store: reads, watches, and conditional changes of rows. The store may be slow or unreachable, reject calls from this
+// host only, or lose an answer after it has made the change.
 //
 // Index of sections (search for [SECTION]):
-//   Results       what became of a call
+//   Results       outcomes and answers of calls
 //   StoreClient   single calls
-//   TableWatch    a copy of one table that follows the store
+//   TableWatch    reads one table and follows its changes
 #pragma once
 
 #include "core/backoff.h"
@@ -25,24 +25,24 @@
 
 enum class StoreOutcome {
     Done,
-    Conflict, ///< a row had another version: nothing was changed
-    HistoryLost, ///< a watch asked for changes that the store no longer has: read the table
+    Conflict, ///< a row had another version than expected: nothing was changed
+    HistoryLost, ///< a watch asked for changes that the store no longer keeps: read the whole table again
     Refused, ///< certainly without effect
-    Unclear, ///< no answer: a change may have been made, or may still be
+    Unclear, ///< no readable answer: a change may have been made, or may still be made
 };
 auto toString(StoreOutcome outcome) -> const char *;
 
 struct StoreAnswer {
     StoreOutcome outcome = StoreOutcome::Unclear;
     StorePage page; ///< of reads and watches
-    RowVersion version; ///< of changes: that of the rows written
+    RowVersion version; ///< for changes: the version of the rows written
 };
 
 // [SECTION] StoreClient
 
 struct StoreClientOptions {
     Endpoint server;
-    Duration timeout = Duration::millis(1500); ///< of reads and changes; some three hundred times the usual answer
+    Duration timeout = Duration::millis(1500); ///< of reads and changes; about 300 times the usual response time
 };
 
 class StoreClient
@@ -55,18 +55,18 @@
     StoreClient(const StoreClient &) = delete;
     auto operator=(const StoreClient &) -> StoreClient & = delete;
 
-    auto calls() const -> std::uint64_t; ///< started so far: each has its price
+    auto calls() const -> std::uint64_t; ///< started so far; the store meters calls
     auto lastAnswerAt() const -> TimePoint; ///< of any call
 
-    /// The store was not reached, or is reached again after that.
+    /// A call has failed, or the first one after that has succeeded: known rows may be out of date.
     std::function<void()> onUnreachable;
 
     auto setServer(const Endpoint &server) -> void;
     /// One page of a table, from key `from` on.
     auto read(StoreTable table, const std::string &from, Done done) -> void;
-    /// Answers as soon as a row of the table changes after `after`, or when `wait` is over.
+    /// Long poll: answers as soon as a row of the table has a newer version than `after`, or when `wait` has passed.
     auto watch(StoreTable table, RowVersion after, Duration wait, Done done) -> void;
-    /// All changes or none.
+    /// Makes all changes or none.
     auto change(StoreTable table, const std::vector<StoreChange> &changes, Done done) -> void;
 
     struct Private;
@@ -78,16 +78,16 @@
 // [SECTION] TableWatch
 
 struct TableWatchHooks {
-    /// The whole table as of one moment; what isn't in it doesn't exist.
+    /// The whole table. Rows that aren't in it don't exist; some may be newer than `upTo`.
     std::function<void(const std::vector<StoredRow> &rows, RowVersion upTo)> onTable;
     std::function<void(const std::vector<StoredRow> &rows)> onChanges;
-    /// The store answers again, or no longer.
+    /// The store answers again, or no longer answers.
     std::function<void(bool isReached)> onReachabilityChanged;
 };
 
 struct TableWatchOptions {
-    Duration pollTimeout = Duration::seconds(20); ///< of one watch call; one that the store took and forgot shows only after this
-    Duration probeTimeout = Duration::millis(300); ///< likewise, until the store has answered again: whoever was cut off must hear soon that it is back
+    Duration pollTimeout = Duration::seconds(20); ///< longest wait of one watch call; a call that the store accepted but forgot is noticed only after this
+    Duration probeTimeout = Duration::millis(300); ///< used instead while the store is unreachable, so that its return is noticed soon
     BackoffOptions backoff {.initial = Duration::millis(50), .max = Duration::millis(500)}; ///< after a failed call
 };
 
@@ -99,14 +99,14 @@
     TableWatch(const TableWatch &) = delete;
     auto operator=(const TableWatch &) -> TableWatch & = delete;
 
-    auto isLoaded() const -> bool; ///< the table was read at least once
+    auto isLoaded() const -> bool; ///< the whole table was read; false again when a later read of it has failed
     auto isReached() const -> bool; ///< the last call was answered
-    auto version() const -> RowVersion; ///< up to which changes are known
-    /// After an answer with changes, how long until the next call: what comes meanwhile is answered together.
+    auto version() const -> RowVersion; ///< the store's version up to which changes are known
+    /// Delay between an answer with changes and the next watch call. Changes made meanwhile come in one answer.
     auto setPause(Duration pause) -> void;
-    /// Reads the table anew, at once.
+    /// Reads the whole table again, at once.
     auto reload() -> void;
-    /// Whether the call that waits will ever be answered is doubtful: makes another one, from the same version.
+    /// Abandons the pending watch call, which may never be answered, and makes a new one from the same version.
     auto renew() -> void;
 
     struct Private;
--- a/src/gateway/storefollower.cpp
+++ b/src/gateway/storefollower.cpp
@@ -1,8 +1,9 @@
 // Index of sections (search for [SECTION]):
-//   State      tables, and what watchers say
-//   Watching   who watches, and when
-//   Passing    rows to and from other gateways
-//   Follower   the public face
+//   State      tables, and the state of other gateways
+//   Start      where the tables are loaded from at start-up
+//   Watching   starting and stopping this gateway's own watches
+//   Passing    forwarding of rows to other gateways, comparison of checksums
+//   Follower   public interface
 #include "gateway/storefollower.h"
 
 #include "core/hashing.h"
@@ -21,7 +22,7 @@
 
 constexpr std::array Tables {StoreTable::Declarations, StoreTable::Targets, StoreTable::Gateways};
 constexpr std::size_t TableCount = Tables.size();
-constexpr std::size_t GatewaysTable = 2; ///< in `Tables`
+constexpr std::size_t GatewaysTable = 2; ///< index in `Tables`
 
 auto nameOf(std::size_t index) -> const char *
 {
@@ -29,28 +30,28 @@
     return Names.at(index);
 }
 
-/// In `Tables`; nothing: the table isn't followed.
+/// Index in `Tables`; nothing: the table isn't followed.
 auto indexOf(StoreTable table) -> std::optional<std::size_t>
 {
     const auto *found = std::find(Tables.begin(), Tables.end(), table);
     return found == Tables.end() ? std::nullopt : std::optional(static_cast<std::size_t>(found - Tables.begin()));
 }
 
-/// What another gateway says of itself.
+/// State of another gateway, from its digests.
 struct Watcher {
     TimePoint receivedAt;
-    TimePoint watchesSince; ///< and reaches the store
-    bool isHealthy = false;
-    std::array<std::uint64_t, TableCount> checksums {};
+    TimePoint liveSince; ///< see isLive()
+    bool isHealthy = false; ///< it watches the store and reaches it, by its last digest
+    std::array<std::uint64_t, TableCount> checksums {}; ///< by table; 0: it hasn't loaded the table
     std::array<RowVersion, TableCount> versions;
 };
 
 struct FollowedTable {
     RowMirror mirror;
     std::unique_ptr<TableWatch> watch; ///< while this gateway watches
-    TimePoint askedAt; ///< a peer, at a start
-    std::optional<TimePoint> differsSince; ///< from a watcher's
-    std::vector<std::pair<TimePoint, StoredRow>> toPass; ///< if the first watcher doesn't; with when they came
+    TimePoint requestedAt; ///< when it was last requested from a peer, at start-up
+    std::optional<TimePoint> differsSince; ///< since when its checksum differs from the first live watcher's
+    std::vector<std::pair<TimePoint, StoredRow>> unforwarded; ///< changes from the own watch that the first watcher is to forward, with their time of arrival
 };
 
 } // namespace
@@ -66,22 +67,27 @@
     StoreFollowerHooks hooks;
     std::array<FollowedTable, TableCount> tables;
     std::map<std::string, Watcher> watchers;
-    StoreWatchers watcherCount;
+    StoreWatchers storeWatchers;
     bool watching = false;
-    bool wasFollowing = false; // a watcher elsewhere reached the store
-    bool isStarting = true; // tables are still to come
-    bool asksPeers = false; // for them
-    Timer firstWatch;
-    Timer startLimit;
-
-    Private(EventLoop &ownerLoop, StoreClient &storeClient, EventLog &eventLog, GatewayPeers &links, StoreFollowerSettings own, StoreFollowerHooks tell)
+    bool hadLiveWatcher = false; // another gateway was a live watcher at the last advance()
+    bool isStarting = true; // where the tables come from isn't decided, or they haven't arrived
+    bool isLoadingFromPeers = false; // at start-up, tables are requested from peers
+    Timer deferredTimer;
+    Timer startTimer;
+
+    Private(EventLoop &ownerLoop,
+            StoreClient &storeClient,
+            EventLog &eventLog,
+            GatewayPeers &gatewayPeers,
+            StoreFollowerSettings followerSettings,
+            StoreFollowerHooks followerHooks)
         : loop(ownerLoop)
         , store(storeClient)
         , log(eventLog)
-        , peers(links)
-        , settings(std::move(own))
-        , hooks(std::move(tell))
-        , watcherCount(settings.watchers)
+        , peers(gatewayPeers)
+        , settings(std::move(followerSettings))
+        , hooks(std::move(followerHooks))
+        , storeWatchers(settings.watchers)
     {
     }
     auto rankOf(const std::string &id) const -> std::uint64_t
@@ -93,14 +99,14 @@
         return watcher.isHealthy && loop.now() - watcher.receivedAt < settings.watcherTimeout;
     }
     auto firstLiveWatcher() const -> std::optional<std::string>;
-    auto isAmongFirst() const -> bool;
+    auto isRankedToWatch() const -> bool;
     auto isFirst() const -> bool;
     auto reachesStore() const -> bool;
     auto start() -> void;
     auto chooseSource() -> void;
-    auto askPeer(const std::string &id, const Wire::GatewayDigest &digest) -> void;
+    auto requestMissingTables(const std::string &id, const Wire::GatewayDigest &digest) -> void;
     auto requestTable(std::size_t index, const std::string &peer) const -> void;
-    auto endStart() -> void;
+    auto finishStart() -> void;
     auto areAllLoaded() const -> bool
     {
         return std::all_of(tables.begin(), tables.end(), [](const FollowedTable &table) { return table.mirror.isLoaded(); });
@@ -108,16 +114,16 @@
     auto startWatching(const char *why) -> void;
     auto stopWatching() -> void;
     auto watch(std::size_t index) -> void;
-    auto renewOthers(std::size_t but) -> void;
-    auto takeOwn(std::size_t index, std::vector<StoredRow> news) -> void;
-    auto passOn(std::size_t index, const std::vector<StoredRow> &rows) -> void;
-    auto passPending() -> void;
-    auto pace() -> void;
+    auto renewOtherWatches(std::size_t except) -> void;
+    auto applyOwnRows(std::size_t index, std::vector<StoredRow> changed) -> void;
+    auto forwardRows(std::size_t index, const std::vector<StoredRow> &rows) -> void;
+    auto forwardOverdue() -> void;
+    auto updatePause() -> void;
     auto rowsFrame(std::size_t index, const std::vector<StoredRow> &rows, bool isWhole) const -> Wire::ControlFrame;
-    auto compare(const std::string &id, const Watcher &watcher) -> void;
+    auto compareChecksums(const std::string &id, const Watcher &watcher) -> void;
 };
 
-/// The watcher that passes changes on: the one that ranks first of those that reach the store.
+/// The other live watcher that ranks first. It forwards changes, unless this gateway watches and ranks before it.
 auto StoreFollower::Private::firstLiveWatcher() const -> std::optional<std::string>
 {
     std::optional<std::string> first;
@@ -129,13 +135,13 @@
     return first;
 }
 
-auto StoreFollower::Private::isAmongFirst() const -> bool
+auto StoreFollower::Private::isRankedToWatch() const -> bool
 {
     int ahead = 0;
     for (const auto &id : peers.live()) {
         ahead += rankOf(id) > rankOf(settings.id) ? 1 : 0;
     }
-    return ahead < watcherCount.desiredWatchers(loop.now());
+    return ahead < storeWatchers.desiredWatchers(loop.now());
 }
 
 auto StoreFollower::Private::reachesStore() const -> bool
@@ -151,12 +157,12 @@
 
 // [SECTION] Start
 
-/// Only the gateways' rows at first: how many they are says from where the other tables are to come.
+/// Reads only the gateways' rows at first: their number decides whether the other tables are read from the store or requested from peers.
 auto StoreFollower::Private::start() -> void
 {
-    startLimit = loop.after(settings.peerLoadTimeout, [this] {
+    startTimer = loop.after(settings.peerLoadTimeout, [this] {
         if (!areAllLoaded()) {
-            endStart();
+            finishStart();
             startWatching("not-loaded");
         }
     });
@@ -166,7 +172,7 @@
 auto StoreFollower::Private::chooseSource() -> void
 {
     if (!isStarting) {
-        return; // the limit of the start came in the same turn of the loop
+        return; // startTimer fired in the same iteration of the event loop
     }
     int registered = 0;
     int ahead = 0;
@@ -174,23 +180,23 @@
         registered += row.isRemoved ? 0 : 1;
         ahead += !row.isRemoved && rankOf(row.key) > rankOf(settings.id) ? 1 : 0;
     }
-    if (watcherCount.initialSource(registered, ahead) == TableSource::Store) {
-        endStart();
+    if (storeWatchers.initialSource(registered, ahead) == TableSource::Store) {
+        finishStart();
         startWatching("start");
         return;
     }
-    asksPeers = true;
+    isLoadingFromPeers = true;
     tables.at(GatewaysTable).watch.reset();
     log.line("store", "asking-peers").add("gateways", registered);
 }
 
-auto StoreFollower::Private::askPeer(const std::string &id, const Wire::GatewayDigest &digest) -> void
+auto StoreFollower::Private::requestMissingTables(const std::string &id, const Wire::GatewayDigest &digest) -> void
 {
     for (std::size_t i = 0; i < TableCount; ++i) {
         auto &table = tables.at(i);
-        const bool hasIt = static_cast<int>(i) < digest.tables_size() && digest.tables(static_cast<int>(i)) != 0;
-        if (hasIt && !table.mirror.isLoaded() && loop.now() - table.askedAt >= settings.peerRetryDelay) {
-            table.askedAt = loop.now();
+        const bool peerHasTable = static_cast<int>(i) < digest.tables_size() && digest.tables(static_cast<int>(i)) != 0;
+        if (peerHasTable && !table.mirror.isLoaded() && loop.now() - table.requestedAt >= settings.peerRetryDelay) {
+            table.requestedAt = loop.now();
             requestTable(i, id);
         }
     }
@@ -203,14 +209,14 @@
     peers.send(peer, frame);
 }
 
-auto StoreFollower::Private::endStart() -> void
+auto StoreFollower::Private::finishStart() -> void
 {
-    if (asksPeers) {
+    if (isLoadingFromPeers) {
         log.line("store", "asked-peers").add("loaded", areAllLoaded());
     }
     isStarting = false;
-    asksPeers = false;
-    startLimit.cancel();
+    isLoadingFromPeers = false;
+    startTimer.cancel();
 }
 
 // [SECTION] Watching
@@ -238,7 +244,7 @@
     log.line("store", "following").add("watcher", firstLiveWatcher().value_or("-"));
     for (auto &table : tables) {
         table.watch.reset();
-        table.toPass.clear();
+        table.unforwarded.clear();
     }
 }
 
@@ -246,15 +252,15 @@
 {
     TableWatchHooks watchHooks;
     watchHooks.onTable = [this, index](const std::vector<StoredRow> &rows, RowVersion upTo) {
-        takeOwn(index, tables.at(index).mirror.applySnapshot(rows, upTo));
+        applyOwnRows(index, tables.at(index).mirror.applySnapshot(rows, upTo));
     };
     watchHooks.onChanges = [this, index](const std::vector<StoredRow> &rows) {
-        takeOwn(index, tables.at(index).mirror.applyChanges(rows));
+        applyOwnRows(index, tables.at(index).mirror.applyChanges(rows));
     };
     watchHooks.onReachabilityChanged = [this, index](bool isReached) {
         log.line("store", isReached ? "reached" : "not-reached").add("for", nameOf(index));
         if (!isReached && Tables.at(index) == StoreTable::Targets) {
-            renewOthers(index);
+            renewOtherWatches(index);
         }
     };
     TableWatchOptions options;
@@ -264,33 +270,34 @@
     tables.at(index).watch = std::make_unique<TableWatch>(loop, store, log, Tables.at(index), options, std::move(watchHooks));
 }
 
-/// The store was away without closing connections: calls that waited there are never answered, and those for tables that hardly change would go on waiting
-/// for twenty seconds. Callers would be served by old declarations as long. Targets' rows change all the time, so their watch tells first.
-auto StoreFollower::Private::renewOthers(std::size_t but) -> void
+/// Renews the watches of all other tables when that of the targets has failed. If the store was unreachable while connections stayed open, pending watch calls
+/// are never answered, and those for tables that rarely change would wait for 20 s; callers would be served by old declarations for that long. Targets' rows
+/// change all the time, so their watch fails first.
+auto StoreFollower::Private::renewOtherWatches(std::size_t except) -> void
 {
     for (std::size_t i = 0; i < TableCount; ++i) {
-        if (i != but && tables.at(i).watch) {
+        if (i != except && tables.at(i).watch) {
             tables.at(i).watch->renew();
         }
     }
 }
 
-auto StoreFollower::Private::takeOwn(std::size_t index, std::vector<StoredRow> news) -> void
+auto StoreFollower::Private::applyOwnRows(std::size_t index, std::vector<StoredRow> changed) -> void
 {
     auto &table = tables.at(index);
-    hooks.onRows(Tables.at(index), news);
-    if (isStarting && !asksPeers && index == GatewaysTable) {
-        firstWatch = loop.after(Duration::micros(1), [this] { chooseSource(); }); // not from within the watch, which may end by that
+    hooks.onRows(Tables.at(index), changed);
+    if (isStarting && !isLoadingFromPeers && index == GatewaysTable) {
+        deferredTimer = loop.after(Duration::micros(1), [this] { chooseSource(); }); // deferred, as it may destroy the watch that is calling this
     }
-    if (news.empty()) {
+    if (changed.empty()) {
         return;
     }
     if (isFirst()) {
-        passOn(index, news);
+        forwardRows(index, changed);
         return;
     }
-    for (auto &row : news) {
-        table.toPass.emplace_back(loop.now(), std::move(row));
+    for (auto &row : changed) {
+        table.unforwarded.emplace_back(loop.now(), std::move(row));
     }
 }
 
@@ -314,23 +321,24 @@
     return frame;
 }
 
-auto StoreFollower::Private::passOn(std::size_t index, const std::vector<StoredRow> &rows) -> void
+auto StoreFollower::Private::forwardRows(std::size_t index, const std::vector<StoredRow> &rows) -> void
 {
     if (!peers.live().empty()) {
         peers.sendAll(rowsFrame(index, rows, false));
     }
 }
 
-/// The first watcher may have lost the store without knowing it yet: what its digests don't show after a while is passed on by the others.
-auto StoreFollower::Private::passPending() -> void
+/// Forwards changes that the first watcher should have forwarded: it may have lost the store without having noticed. A change is overdue if the first watcher's
+/// digests don't show its version after `fallbackDelay`.
+auto StoreFollower::Private::forwardOverdue() -> void
 {
     const auto first = firstLiveWatcher();
     for (std::size_t i = 0; i < TableCount; ++i) {
-        auto &waiting = tables.at(i).toPass;
+        auto &unforwarded = tables.at(i).unforwarded;
         const auto known = first ? watchers.at(*first).versions.at(i) : RowVersion();
-        std::erase_if(waiting, [&](const auto &row) { return row.second.version <= known; });
+        std::erase_if(unforwarded, [&](const auto &row) { return row.second.version <= known; });
         std::vector<StoredRow> due;
-        for (const auto &[since, row] : waiting) {
+        for (const auto &[since, row] : unforwarded) {
             if (loop.now() - since >= settings.fallbackDelay) {
                 due.push_back(row);
             }
@@ -338,16 +346,17 @@
         if (due.empty()) {
             continue;
         }
-        waiting.clear();
-        if (isAmongFirst()) {
+        unforwarded.clear();
+        if (isRankedToWatch()) {
             log.line("store", "stands-in").add("table", nameOf(i)).add("for", first.value_or("-")).add("rows", static_cast<int>(due.size()));
-            passOn(i, due);
+            forwardRows(i, due);
         }
     }
 }
 
-/// Targets' rows change all the time; gathered for a moment they take a fraction of the calls. Declarations are never held up.
-auto StoreFollower::Private::pace() -> void
+/// Sets the pause between watch calls for targets. Their rows change all the time, and batched changes take a fraction of the calls. Changes of declarations
+/// are never delayed.
+auto StoreFollower::Private::updatePause() -> void
 {
     const auto pause = isFirst() ? settings.batchDelay : settings.standbyBatchDelay;
     for (std::size_t i = 0; i < TableCount; ++i) {
@@ -357,8 +366,8 @@
     }
 }
 
-/// A difference that lasts means that something was missed here.
-auto StoreFollower::Private::compare(const std::string &id, const Watcher &watcher) -> void
+/// Compares this gateway's tables with those of the first live watcher. A lasting difference means that a change was missed here: fetches the table again.
+auto StoreFollower::Private::compareChecksums(const std::string &id, const Watcher &watcher) -> void
 {
     for (std::size_t i = 0; i < TableCount; ++i) {
         auto &table = tables.at(i);
@@ -386,8 +395,8 @@
 StoreFollower::StoreFollower(EventLoop &loop, StoreClient &store, EventLog &log, GatewayPeers &peers, StoreFollowerSettings settings, StoreFollowerHooks hooks)
     : d(std::make_unique<Private>(loop, store, log, peers, std::move(settings), std::move(hooks)))
 {
-    // Not from within the constructor: the hooks belong to an owner that is still being built.
-    d->firstWatch = loop.after(Duration::micros(1), [this] { d->start(); });
+    // Deferred: the owner, to which the hooks belong, is still under construction.
+    d->deferredTimer = loop.after(Duration::micros(1), [this] { d->start(); });
 }
 
 StoreFollower::~StoreFollower() = default;
@@ -429,7 +438,7 @@
 auto StoreFollower::mergeRows(StoreTable table, const std::vector<StoredRow> &rows) -> void
 {
     if (const auto index = indexOf(table)) {
-        d->takeOwn(*index, d->tables.at(*index).mirror.applyChanges(rows));
+        d->applyOwnRows(*index, d->tables.at(*index).mirror.applyChanges(rows));
     }
 }
 
@@ -446,11 +455,11 @@
 auto StoreFollower::onDigest(const std::string &id, const Wire::GatewayDigest &digest) -> void
 {
     auto &watcher = d->watchers[id];
-    const bool wasTrusted = d->isLive(watcher);
+    const bool wasLive = d->isLive(watcher);
     watcher.receivedAt = d->loop.now();
     watcher.isHealthy = digest.watches_store() && !digest.store_trouble();
-    if (watcher.isHealthy && !wasTrusted) {
-        watcher.watchesSince = d->loop.now();
+    if (watcher.isHealthy && !wasLive) {
+        watcher.liveSince = d->loop.now();
     }
     for (int i = 0; i < std::min(digest.tables_size(), static_cast<int>(TableCount)); ++i) {
         watcher.checksums.at(static_cast<std::size_t>(i)) = digest.tables(i);
@@ -458,11 +467,11 @@
     for (int i = 0; i < std::min(digest.versions_size(), static_cast<int>(TableCount)); ++i) {
         watcher.versions.at(static_cast<std::size_t>(i)) = RowVersion(digest.versions(i));
     }
-    if (d->asksPeers) {
-        d->askPeer(id, digest);
+    if (d->isLoadingFromPeers) {
+        d->requestMissingTables(id, digest);
     }
     if (watcher.isHealthy && d->firstLiveWatcher() == id && !d->isFirst()) {
-        d->compare(id, watcher);
+        d->compareChecksums(id, watcher);
     }
 }
 
@@ -490,28 +499,28 @@
         rows.push_back({row.key(), RowVersion(row.version()), row.value(), row.removed()});
     }
     auto &mirror = d->tables.at(index).mirror;
-    const auto news = message->whole() ? mirror.applySnapshot(rows, RowVersion(message->up_to())) : mirror.applyChanges(rows);
-    d->hooks.onRows(Tables.at(index), news);
-    if (d->asksPeers && d->areAllLoaded()) {
-        d->endStart();
+    const auto changed = message->whole() ? mirror.applySnapshot(rows, RowVersion(message->up_to())) : mirror.applyChanges(rows);
+    d->hooks.onRows(Tables.at(index), changed);
+    if (d->isLoadingFromPeers && d->areAllLoaded()) {
+        d->finishStart();
     }
 }
 
 auto StoreFollower::advance() -> void
 {
-    d->passPending();
-    d->pace();
+    d->forwardOverdue();
+    d->updatePause();
     if (d->isStarting) {
         return;
     }
     const auto first = d->firstLiveWatcher();
-    d->watcherCount.advance(first || d->reachesStore(), d->loop.now());
-    // Until the watcher that is back has passed its rows on, those known here may still be out of date.
-    if (!d->watching && (!first || !d->wasFollowing)) {
+    d->storeWatchers.advance(first || d->reachesStore(), d->loop.now());
+    // Also called when a live watcher has just come back: until it has forwarded its rows, those known here may be out of date.
+    if (!d->watching && (!first || !d->hadLiveWatcher)) {
         d->hooks.onUnreachable();
     }
-    d->wasFollowing = first.has_value();
-    if (d->isAmongFirst()) {
+    d->hadLiveWatcher = first.has_value();
+    if (d->isRankedToWatch()) {
         d->startWatching(first ? "ranks-first" : "no-watcher");
         return;
     }
@@ -519,8 +528,8 @@
         return;
     }
     const auto &watcher = d->watchers.at(*first);
-    const bool hasBeenThere = d->loop.now() - watcher.watchesSince >= d->settings.handoverDelay;
-    if (hasBeenThere && d->areAllLoaded()) {
+    const bool isStable = d->loop.now() - watcher.liveSince >= d->settings.handoverDelay;
+    if (isStable && d->areAllLoaded()) {
         d->stopWatching();
     }
 }
--- a/src/gateway/storefollower.h
+++ b/src/gateway/storefollower.h
@@ -1,12 +1,12 @@
-// Follows the store's tables, in a few gateways by watching it and in the others by what those pass on.
+// Keeps local copies of the store's tables up to date. A few gateways watch the store and forward the changes to the others.
 //
-// Calls to the store are metered, and a watch answers once for each change. So only the gateways that rank first watch, the first of them
-// passes changes on at once, and the others of them only if it doesn't. While no watcher reaches the store, more gateways watch, up to a limit; one that
-// has no peers watches by itself. Where many gateways are registered, one that starts reads only their rows, and has the other tables from a peer.
-// A checksum of each table in the digests shows whoever missed a change.
+// Calls to the store are metered, and a watch answers once for each change. So only the gateways that rank first watch. The first of them forwards changes at
+// once; the other watchers forward a change only if the first doesn't. While no watcher reaches the store, more gateways watch, up to a limit; a gateway
+// without peers watches by itself. Where many gateways are registered, a starting gateway reads only the gateways' rows and gets the other tables from a peer.
+// Digests carry a checksum of each table, by which a gateway detects that it missed a change.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks           changes, trouble
+//   Hooks           callbacks and settings
 //   StoreFollower   the task
 #pragma once
 
@@ -26,23 +26,23 @@
 // [SECTION] Hooks
 
 struct StoreFollowerHooks {
-    std::function<void(StoreTable table, const std::vector<StoredRow> &rows)> onRows; ///< changed or removed; the first time all of them
-    std::function<void()> onUnreachable; ///< what is known may be out of date, or was until now
+    std::function<void(StoreTable table, const std::vector<StoredRow> &rows)> onRows; ///< rows that were changed or removed; the first time all rows
+    std::function<void()> onUnreachable; ///< no live watcher reaches the store, or one has just come back: known rows may be out of date
 };
 
 struct StoreFollowerSettings {
     std::string id; ///< of this gateway
     StoreWatcherOptions watchers;
-    Duration watcherTimeout = Duration::millis(1000); ///< since a watcher's last digest
-    Duration handoverDelay = Duration::millis(1000); ///< a watcher must be there this long before an own watch ends
-    Duration fallbackDelay = Duration::millis(300); ///< the first watcher's digest must show a change by then, or the next passes it on
-    Duration targetsPollTimeout
-        = Duration::millis(1500); ///< of one call for targets: their heartbeats come each second or so, so silence for longer is the store's
-    Duration batchDelay = Duration::millis(100); ///< the first watcher waits this long after a change of targets before it watches on
-    Duration standbyBatchDelay = Duration::millis(700); ///< and the others, which only stand in
-    Duration peerLoadTimeout = Duration::millis(1500); ///< at a start, for tables; then the store is read
-    Duration peerRetryDelay = Duration::millis(500); ///< another peer for the same table
-    Duration repairDelay = Duration::millis(600); ///< a table that differs from a watcher's for so long is asked for whole
+    Duration watcherTimeout = Duration::millis(1000); ///< without a digest, until a watcher no longer counts as live
+    Duration handoverDelay = Duration::millis(1000); ///< the first watcher must be live for this long before this gateway stops its own watch
+    Duration fallbackDelay = Duration::millis(300); ///< the first watcher's digest must show a change by then, or the other watchers forward it
+    /// Longest wait of a watch call for targets. Their heartbeats come about once a second, so a longer silence means that the store is unreachable.
+    Duration targetsPollTimeout = Duration::millis(1500);
+    Duration batchDelay = Duration::millis(100); ///< the first watcher waits this long after a change of targets before its next watch call
+    Duration standbyBatchDelay = Duration::millis(700); ///< the same for the other watchers, which only back up the first
+    Duration peerLoadTimeout = Duration::millis(1500); ///< at start-up, until the store is read for tables that no peer has sent
+    Duration peerRetryDelay = Duration::millis(500); ///< at start-up, until a table that hasn't arrived is requested once more, from any peer
+    Duration repairDelay = Duration::millis(600); ///< a table whose checksum differs from the first watcher's for this long is fetched whole
 };
 
 // [SECTION] StoreFollower
@@ -57,17 +57,17 @@
 
     // Queries
     auto isLoaded(StoreTable table) const -> bool;
-    auto isWatching() const -> bool; ///< by itself
-    auto isCurrent() const -> bool; ///< the store is reached, here or by a watcher that is alive
-    auto liveWatchers() const -> std::vector<std::string>; ///< other gateways that reach the store
+    auto isWatching() const -> bool; ///< this gateway watches the store itself
+    auto isCurrent() const -> bool; ///< this gateway or a live watcher reaches the store
+    auto liveWatchers() const -> std::vector<std::string>; ///< other gateways that watch and reach the store
 
     // Commands
     auto writeDigest(Wire::GatewayDigest &digest) const -> void;
     auto onDigest(const std::string &id, const Wire::GatewayDigest &digest) -> void;
-    auto onFrame(const std::string &id, const Wire::ControlFrame &frame) -> void; ///< rows, and requests for them
-    auto advance() -> void; ///< call with each digest
-    auto requestFrom(const std::string &peer, StoreTable table) const -> void; ///< whole, as that gateway knows it
-    /// Rows that were read by other means than the watch, as if that had brought them.
+    auto onFrame(const std::string &id, const Wire::ControlFrame &frame) -> void; ///< rows, and requests for tables
+    auto advance() -> void; ///< call a few times a second
+    auto requestFrom(const std::string &peer, StoreTable table) const -> void; ///< the whole table, as that gateway knows it
+    /// Applies rows that were read other than by the watch, and forwards them like changes from the watch.
     auto mergeRows(StoreTable table, const std::vector<StoredRow> &rows) -> void;
 
     struct Private;
--- a/src/gateway/targetdirectory.cpp
+++ b/src/gateway/targetdirectory.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-constexpr auto AnnounceLeavingFor = Duration::seconds(5);
+/// Digests name a leaving target for this long.
+constexpr auto LeavingAnnounceTime = Duration::seconds(5);
 
 } // namespace
 
@@ -46,9 +47,11 @@
     const auto isKnown = [this](const StoredRow &row) {
         return row.isRemoved && m_view.find(TargetId(row.key)) != nullptr;
     };
-    const auto going = std::count_if(rows.begin(), rows.end(), isKnown);
-    if (m_view.detectMassRemoval(static_cast<std::size_t>(going), m_parts.loop.now())) {
-        m_parts.log.line("targets", "mass-loss-doubted").add("removed", std::int64_t {going}).add("known", static_cast<std::uint64_t>(m_view.targets().size()));
+    const auto removed = std::count_if(rows.begin(), rows.end(), isKnown);
+    if (m_view.detectMassRemoval(static_cast<std::size_t>(removed), m_parts.loop.now())) {
+        m_parts.log.line("targets", "mass-loss-doubted")
+            .add("removed", std::int64_t {removed})
+            .add("known", static_cast<std::uint64_t>(m_view.targets().size()));
     }
 }
 
@@ -69,11 +72,11 @@
 
 auto TargetDirectory::reportedResidency(const TargetId &target, std::uint64_t bornMillis, const std::vector<ResidentModel> &models) -> bool
 {
-    const auto *about = m_parts.dispatcher.description(target);
-    if (about == nullptr || about->incarnation.startedAtMillis != bornMillis) {
+    const auto *description = m_parts.dispatcher.description(target);
+    if (description == nullptr || description->incarnation.startedAtMillis != bornMillis) {
         return false;
     }
-    m_residencies[target] = {about->incarnation, models};
+    m_residencies[target] = {description->incarnation, models};
     m_parts.dispatcher.targetHolds(target, models);
     return true;
 }
@@ -82,7 +85,7 @@
 {
     const auto now = m_parts.loop.now();
     apply(m_view.advance(now));
-    std::erase_if(m_leaving, [&](const auto &one) { return now - one.second > AnnounceLeavingFor; });
+    std::erase_if(m_leaving, [&](const auto &entry) { return now - entry.second > LeavingAnnounceTime; });
 }
 
 auto TargetDirectory::apply(const TargetChanges &changes) -> void
@@ -109,7 +112,7 @@
     m_hooks.onSeen(target);
     const auto reported = m_residencies.find(id);
     if (!m_hooks.givesOrders() && reported != m_residencies.end() && reported->second.incarnation == target.incarnation) {
-        m_parts.dispatcher.targetHolds(id, reported->second.models); // newer than the row as long as somebody gives orders
+        m_parts.dispatcher.targetHolds(id, reported->second.models); // newer than the row, as long as another gateway gives orders
     }
     if (target.isLeaving) {
         m_leaving.try_emplace(target.incarnation, m_parts.loop.now());
@@ -119,9 +122,9 @@
 auto TargetDirectory::onGone(const TargetId &target) -> void
 {
     m_parts.log.line("targets", "gone").add("target", target.text()).add("settled", m_view.isSettled(m_parts.loop.now()));
-    if (const auto *about = m_parts.dispatcher.description(target)) {
-        m_parts.pool.closeIdle(about->address);
-        m_leaving.try_emplace(about->incarnation, m_parts.loop.now());
+    if (const auto *description = m_parts.dispatcher.description(target)) {
+        m_parts.pool.closeIdle(description->address);
+        m_leaving.try_emplace(description->incarnation, m_parts.loop.now());
     }
     m_residencies.erase(target);
     m_parts.dispatcher.targetGone(target);
--- a/src/gateway/targetdirectory.h
+++ b/src/gateway/targetdirectory.h
@@ -1,7 +1,8 @@
-// The targets this gateway knows: from their rows in the store, from other gateways, and from what runners hold by the lease holder's reports.
+// The targets that this gateway knows, from three sources: their rows in the store, other gateways' reports of leaving targets, and the lease holder's reports
+// of what runners hold.
 //
 // Index of sections (search for [SECTION]):
-//   Parts             what it needs
+//   Parts             dependencies and callbacks
 //   TargetDirectory   the task
 #pragma once
 
@@ -31,9 +32,9 @@
 };
 
 struct TargetDirectoryHooks {
-    std::function<void(const TargetDescription &target)> onSeen; ///< new, changed or started anew
+    std::function<void(const TargetDescription &target)> onSeen; ///< new, changed or restarted
     std::function<void(const TargetId &target)> onGone;
-    std::function<bool()> givesOrders; ///< this gateway: then its own books say what runners hold
+    std::function<bool()> givesOrders; ///< this gateway holds the order lease: its own runner books then say what runners hold
 };
 
 // [SECTION] TargetDirectory
@@ -44,21 +45,21 @@
     TargetDirectory(TargetDirectoryParts parts, TargetDirectoryHooks hooks);
 
     // Queries
-    /// Targets that leave or have left, for a while: other gateways may not have seen it.
+    /// Adds targets that began to leave, or left, within the last seconds: other gateways may not have seen it yet.
     auto writeLeaving(Wire::GatewayDigest &digest) const -> void;
 
     // Commands
     auto applyRows(const std::vector<StoredRow> &rows) -> void;
-    auto storeUnreachable() -> void; ///< what is known may be out of date, or was until now
-    auto reportedLeaving(const TargetIncarnation &target) -> void; ///< by another gateway
+    auto storeUnreachable() -> void; ///< the store is unreachable or has just become reachable again: known rows may be out of date
+    auto reportedLeaving(const TargetIncarnation &target) -> void; ///< another gateway has seen it leave
     /// Another target answers at its address.
     auto misdirected(const TargetId &target) -> void;
-    /// By the lease holder: newer than the row. False if it is about another start of the target.
+    /// The lease holder reported what a runner holds, which is newer than the runner's row. False if the report is about another incarnation.
     auto reportedResidency(const TargetId &target, std::uint64_t bornMillis, const std::vector<ResidentModel> &models) -> bool;
     auto advance() -> void; ///< call a few times a second
 
 private:
-    /// What the gateway that gives orders says that one start of a runner holds.
+    /// What one incarnation of a runner holds, as the lease holder last reported.
     struct ReportedResidency {
         TargetIncarnation incarnation;
         std::vector<ResidentModel> models;
@@ -71,7 +72,7 @@
     TargetDirectoryParts m_parts;
     TargetDirectoryHooks m_hooks;
     TargetView m_view;
-    std::map<TargetIncarnation, TimePoint> m_leaving; ///< announced since
+    std::map<TargetIncarnation, TimePoint> m_leaving; ///< since when they are announced as leaving
     std::map<TargetId, ReportedResidency> m_residencies;
 };
 
--- a/src/gateway/usageexchange.cpp
+++ b/src/gateway/usageexchange.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-/// Between two urgent reports, for each gateway that receives them: some hundred a second reach a gateway, however many there are.
+/// Least time between two urgent reports, multiplied by the number of gateways that receive them: so a gateway receives
+/// at most 4000 urgent reports a second, however many gateways there are.
 constexpr auto UrgentPeriodPerPeer = Duration::micros(250);
-/// A peer's share of the limits is left to it after so many digests were missed.
-constexpr double MissedDigests = 3;
+/// After this many missed digests a peer counts as silent, and its share of the limits is left to it.
+constexpr double MaxMissedDigests = 3;
 
 } // namespace
 
@@ -23,7 +24,7 @@
 
 auto UsageExchange::setGateways(const std::vector<std::string> &others, Duration digestPeriod) -> void
 {
-    m_parts.usage.setSilentAfter(digestPeriod * MissedDigests);
+    m_parts.usage.setSilentAfter(digestPeriod * MaxMissedDigests);
     m_parts.usage.setGateways(others, m_parts.loop.now());
 }
 
--- a/src/gateway/usageexchange.h
+++ b/src/gateway/usageexchange.h
@@ -1,10 +1,10 @@
-// What client accounts use, exchanged between gateways (core/sharedusage.h).
+// Exchanges the usage of client accounts between gateways (core/sharedusage.h).
 //
-// Reports go with each digest. A report that is urgent, since its account is nearly used up or much was charged, goes out within milliseconds: with an old view
-// each gateway would admit what is left.
+// Reports are part of each digest. A report is urgent if its account is nearly used up or much was charged; it is sent within milliseconds, as otherwise each
+// gateway would admit requests for all that is left of the account's limit.
 //
 // Index of sections (search for [SECTION]):
-//   Parts           what it needs
+//   Parts           dependencies
 //   UsageExchange   the task
 #pragma once
 
@@ -30,14 +30,14 @@
 class UsageExchange
 {
 public:
-    /// `self`: this start of this process.
+    /// `self`: this incarnation of this gateway.
     UsageExchange(UsageExchangeParts parts, std::string self);
 
-    /// All registered gateways but this one, and how often they send digests.
+    /// All registered gateways but this one, and the period of their digests.
     auto setGateways(const std::vector<std::string> &others, Duration digestPeriod) -> void;
-    auto charged(const AccountName &account) -> void;
-    auto writeReport(Wire::AccountUsage &message) -> void; ///< what is due, for a digest
-    /// `start`: of the sender `id`.
+    auto charged(const AccountName &account) -> void; ///< a request was admitted; sends a report if it is urgent
+    auto writeReport(Wire::AccountUsage &message) -> void; ///< fills in the amounts that are due
+    /// `start`: the incarnation of the sender `id`.
     auto merge(const std::string &id, const std::string &start, const Wire::AccountUsage &message) -> void;
 
 private:
