--- a/src/gateway/ordertask.cpp
+++ b/src/gateway/ordertask.cpp
@@ -352,7 +352,7 @@
     result.missingSince = demandHistory.missingSince(service);
     result.lastRequestAt = demandHistory.lastRequestAt();
     result.isDemandKnown = demandHistory.isKnown(now());
-    result.streams = hooks.drainingStreams();
+    result.drainingStreams = hooks.drainingStreams();
     result.estimatedStreams = hooks.estimatedStreams;
     return result;
 }
@@ -757,7 +757,7 @@
 
 auto OrderTask::modelRequested(const std::string &model) -> void
 {
-    d->demandHistory.modelAsked(model, d->now());
+    d->demandHistory.modelRequested(model, d->now());
 }
 
 auto OrderTask::adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void
