--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -98,7 +98,7 @@
     auto suspectsMessage() const -> Wire::Suspects;
     auto readFloor() -> void;
     auto pollLoad() -> void;
-    auto checkLeft() -> void;
+    auto checkDrained() -> void;
     auto page(const std::shared_ptr<HttpExchange> &exchange) -> void;
 };
 
@@ -115,7 +115,7 @@
         };
         hooks.onChanged = [this] {
             if (sessions) {
-                sessions->reportSoon();
+                sessions->scheduleReport();
             }
         };
         hooks.onCrash = [this](std::uint64_t generation) {
@@ -189,12 +189,12 @@
     };
     hooks.onChanged = [this] {
         if (sessions) {
-            sessions->reportSoon();
+            sessions->scheduleReport();
         }
     };
     if (residency) {
-        hooks.suspectCrash = [this](std::function<void(bool)> done) {
-            residency->suspectCrash(std::move(done));
+        hooks.checkForCrash = [this](std::function<void(bool)> done) {
+            residency->checkForCrash(std::move(done));
         };
         hooks.cancelAtTarget = [this](const RequestId &request) {
             engine->cancel(request);
@@ -210,8 +210,8 @@
     const auto inFlight = requests->fingerprintsInFlight();
     LOG(WARNING) << "suspects: engine crashed generation=" << generation << " in-flight=" << inFlight.size();
     suspects.targetCrashed(TargetId(settings.process.id), generation, inFlight, loop.now());
-    sessions->tellSuspects();
-    sessions->reportSoon();
+    sessions->sendSuspects();
+    sessions->scheduleReport();
 }
 
 // [SECTION] Control
@@ -263,7 +263,7 @@
     if (residency) {
         residency->adopt(declarations);
     }
-    sessions->reportSoon();
+    sessions->scheduleReport();
 }
 
 auto Agent::Private::onPlan(const Wire::FloorPlan &plan) -> void
@@ -321,7 +321,7 @@
     }
     LOG(INFO) << "leaving: " << (reason.empty() ? "drain undone" : "draining") << " reason=" << reason;
     requests->setLeaving(!reason.empty());
-    sessions->reportSoon();
+    sessions->scheduleReport();
 }
 
 // [SECTION] Report
@@ -403,7 +403,7 @@
 
 // [SECTION] Leaving
 
-auto Agent::Private::checkLeft() -> void
+auto Agent::Private::checkDrained() -> void
 {
     // Records of runs that have ended are still being written: without them a duplicate would be answered unknown.
     const auto open = requests->running() + requests->queued() + static_cast<int>(claims->openKeys());
@@ -468,8 +468,8 @@
     d->leavingSince = d->loop.now();
     LOG(INFO) << "leaving: started running=" << d->requests->running() << " queued=" << d->requests->queued();
     d->requests->setLeaving(true);
-    d->sessions->reportSoon();
-    d->leaveCheck = d->loop.every(LeaveCheckPeriod, [this] { d->checkLeft(); });
+    d->sessions->scheduleReport();
+    d->leaveCheck = d->loop.every(LeaveCheckPeriod, [this] { d->checkDrained(); });
 }
 
 auto Agent::exitCode() const -> int
--- a/src/agent/claimtask.cpp
+++ b/src/agent/claimtask.cpp
@@ -47,13 +47,13 @@
 
     auto begin(const ClaimKey &key, TimePoint deadline, Done done) -> SendId;
     auto perform(const RunOnceActions &actions) -> void;
-    auto decide(SendId send, const ClaimVerdict &verdict) -> void;
+    auto deliverVerdict(SendId send, const ClaimVerdict &verdict) -> void;
     auto forward(const ForwardSend &send) -> void;
     auto write(const WriteClaims &action) -> void;
     auto read(const ReadClaims &action) -> void;
     auto scheduleTick() -> void;
     auto cleanUp() -> void;
-    auto deleteOld(const std::vector<TableRow> &rows) -> void;
+    auto deleteExpired(const std::vector<TableRow> &rows) -> void;
 };
 
 // [SECTION] Actions
@@ -71,7 +71,7 @@
     return send.send;
 }
 
-auto ClaimTask::Private::decide(SendId send, const ClaimVerdict &verdict) -> void
+auto ClaimTask::Private::deliverVerdict(SendId send, const ClaimVerdict &verdict) -> void
 {
     const auto found = waiting.find(send.value());
     if (found == waiting.end()) {
@@ -86,7 +86,7 @@
 auto ClaimTask::Private::forward(const ForwardSend &send) -> void
 {
     if (waiting.contains(send.send.value())) {
-        decide(send.send, send);
+        deliverVerdict(send.send, send);
         return;
     }
     loop.post([this, id = send.send] { perform(runOnce.runEnded(id, RunOutcome::NotRun, {}, loop.now())); });
@@ -96,9 +96,9 @@
 {
     for (const auto &action : actions) {
         std::visit(Overloaded {[this](const ForwardSend &send) { forward(send); },
-                               [this](const AnswerFromRecord &answer) { decide(answer.send, answer); },
-                               [this](const AnswerNotRun &answer) { decide(answer.send, answer); },
-                               [this](const AnswerUnknown &answer) { decide(answer.send, answer); },
+                               [this](const AnswerFromRecord &answer) { deliverVerdict(answer.send, answer); },
+                               [this](const AnswerNotRun &answer) { deliverVerdict(answer.send, answer); },
+                               [this](const AnswerUnknown &answer) { deliverVerdict(answer.send, answer); },
                                [this](const WriteClaims &batch) { write(batch); },
                                [this](const ReadClaims &keys) {
                                    read(keys);
@@ -146,11 +146,11 @@
             return;
         }
         cleanupAfter = rows->size() < static_cast<std::size_t>(CleanupPage) ? std::string() : rows->back().key;
-        deleteOld(*rows);
+        deleteExpired(*rows);
     });
 }
 
-auto ClaimTask::Private::deleteOld(const std::vector<TableRow> &rows) -> void
+auto ClaimTask::Private::deleteExpired(const std::vector<TableRow> &rows) -> void
 {
     const auto ops = planClaimCleanup(rows, settings.wallMillis());
     if (ops.empty()) {
--- a/src/agent/controlsessions.cpp
+++ b/src/agent/controlsessions.cpp
@@ -149,14 +149,14 @@
     d->sendReport(stream, d->hooks.report());
 }
 
-auto ControlSessions::reportSoon() -> void
+auto ControlSessions::scheduleReport() -> void
 {
     if (!d->soon.isActive()) {
         d->soon = d->loop.after(ReportDelay, [this] { d->sendReport(); });
     }
 }
 
-auto ControlSessions::tellSuspects() -> void
+auto ControlSessions::sendSuspects() -> void
 {
     d->sendAll(d->suspectsFrame());
 }
--- a/src/agent/controlsessions.h
+++ b/src/agent/controlsessions.h
@@ -41,8 +41,8 @@
     auto count() const -> std::size_t;
 
     auto accept(const PeerStreamPtr &stream) -> void;
-    auto reportSoon() -> void; ///< something changed; changes close together go in one report
-    auto tellSuspects() -> void;
+    auto scheduleReport() -> void; ///< something changed; changes close together go in one report
+    auto sendSuspects() -> void;
 
     struct Private;
 
--- a/src/agent/requesttasks.cpp
+++ b/src/agent/requesttasks.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::size_t TailBytes = 64; // of a stream, in which its end mark is looked for
 constexpr auto EndMark = "data: [DONE]";
-constexpr double MeanWeight = 0.1;
+constexpr double MeanSampleWeight = 0.1;
 
 } // namespace
 
@@ -31,7 +31,7 @@
 {
 
 /// Where a request stands.
-enum class TaskState { Opening, Claiming, Queued, Running, Asking, Ended };
+enum class TaskState { Opening, Claiming, Queued, Running, CheckingCrash, Ended };
 
 struct RequestTask {
     PeerStreamPtr stream; // null once the entry has gone, or the task has ended
@@ -49,10 +49,10 @@
     int status = 0;
     HttpHeaders headers;
     std::string tail; // the answer's last bytes
-    std::string held; // an answer that is kept until it is known what to make of it, or recorded
+    std::string bufferedBody; // an answer that is kept until it is known what to make of it, or recorded
     std::size_t bytes = 0;
-    bool keepsBody = false; // run once: for the record
-    bool holdsHead = false; // an error of the engine that may mean "not run"
+    bool recordsAnswer = false; // run once: for the record
+    bool withholdsHead = false; // an error of the engine that may mean "not run"
     bool isStream = false; // server-sent events
 
     auto name() const -> std::string
@@ -68,7 +68,7 @@
     auto operator<=>(const QueueKey &) const = default;
 };
 
-auto refusalOf(const std::string &code, const std::string &detail, Duration retryAfter = {}) -> Wire::End
+auto notRunEnd(const std::string &code, const std::string &detail, Duration retryAfter = {}) -> Wire::End
 {
     Wire::End end;
     end.set_outcome(Wire::OUTCOME_NOT_RUN);
@@ -78,7 +78,7 @@
     return end;
 }
 
-auto unknownOf(const std::string &code, const std::string &detail) -> Wire::End
+auto unknownEnd(const std::string &code, const std::string &detail) -> Wire::End
 {
     Wire::End end;
     end.set_outcome(Wire::OUTCOME_UNKNOWN);
@@ -108,7 +108,7 @@
     int running = 0;
     bool isolated = false; // a suspect runs alone
     bool leaving = false;
-    double meanMicros = 0;
+    double meanServiceMicros = 0;
 
     Private(EventLoop &ownerLoop, HttpClient &httpClient, RequestSettings taskSettings, RequestHooks taskHooks)
         : loop(ownerLoop)
@@ -126,20 +126,20 @@
     auto onVerdict(const TaskPtr &task, const ClaimVerdict &verdict) -> void;
     auto answerFromRecord(const TaskPtr &task, const RunRecord &record) -> void;
     auto enqueue(const TaskPtr &task) -> void;
-    auto pump() -> void;
+    auto startQueued() -> void;
     auto mayStart(const RequestTask &task) const -> bool;
     auto start(const TaskPtr &task) -> void;
     auto callOf(const RequestTask &task) const -> HttpCall;
     auto onHead(const TaskPtr &task, int status, const HttpHeaders &headers) -> void;
     auto onData(const TaskPtr &task, std::string_view data) -> void;
     auto onCallEnd(const TaskPtr &task, CallEnd end) -> void;
-    auto onBroken(const TaskPtr &task) -> void;
+    auto onCallBroken(const TaskPtr &task) -> void;
     auto sendHead(const TaskPtr &task) -> void;
     auto sendData(const TaskPtr &task, std::string_view data) -> void;
     auto finishRun(const TaskPtr &task) -> void;
     auto reportRunEnd(const TaskPtr &task, RunOutcome end) -> void;
     auto end(const TaskPtr &task, const Wire::End &end) -> void;
-    auto useArtifacts(const RequestTask &task, int change) -> void;
+    auto adjustArtifactUses(const RequestTask &task, int change) -> void;
     auto leaveQueue(const TaskPtr &task) -> void;
     auto cancel(const TaskPtr &task) -> void;
 };
@@ -166,27 +166,27 @@
 auto RequestTasks::Private::reasonToRefuse(const RequestTask &task) const -> Wire::End
 {
     if (task.open.version() != Wire::PROTOCOL_VERSION_CURRENT) {
-        return refusalOf("version", "the agent speaks another protocol version");
+        return notRunEnd("version", "the agent speaks another protocol version");
     }
     if (leaving) {
-        return refusalOf("leaving", "the target takes no new work");
+        return notRunEnd("leaving", "the target takes no new work");
     }
     if (!hooks.isTargetReady()) {
-        return refusalOf("target-down", "the target doesn't answer");
+        return notRunEnd("target-down", "the target doesn't answer");
     }
     if (hooks.isQuarantined(task.open.fingerprint())) {
-        return refusalOf("quarantined", "this request has crashed targets before");
+        return notRunEnd("quarantined", "this request has crashed targets before");
     }
     for (const auto &artifact : task.open.artifacts()) {
         if (!hooks.isUsable(ArtifactName(artifact))) {
-            return refusalOf("not-resident", artifact + " isn't resident");
+            return notRunEnd("not-resident", artifact + " isn't resident");
         }
     }
     if (task.open.budget_us() <= 0) {
-        return refusalOf("too-late", "no time is left");
+        return notRunEnd("too-late", "no time is left");
     }
     if (queue.size() >= settings.maxQueue) {
-        return refusalOf("overloaded", "too many requests wait at the target", Duration::micros(static_cast<std::int64_t>(meanMicros)));
+        return notRunEnd("overloaded", "too many requests wait at the target", Duration::micros(static_cast<std::int64_t>(meanServiceMicros)));
     }
     return {};
 }
@@ -200,7 +200,7 @@
         end(task, refusal);
         return;
     }
-    useArtifacts(*task, 1);
+    adjustArtifactUses(*task, 1);
     if (task->open.run_once()) {
         claim(task);
     } else {
@@ -212,10 +212,10 @@
 {
     task->state = TaskState::Claiming;
     if (!hooks.claims.begin) {
-        end(task, refusalOf("store-unavailable", "requests that must run once can't be claimed here"));
+        end(task, notRunEnd("store-unavailable", "requests that must run once can't be claimed here"));
         return;
     }
-    task->keepsBody = true;
+    task->recordsAnswer = true;
     task->hasClaim = true;
     const ClaimKey key {ServiceName(task->open.service()), RequestKey(task->open.key())};
     task->send = hooks.claims.begin(key, task->deadline, [this, task](const ClaimVerdict &verdict) { onVerdict(task, verdict); });
@@ -234,9 +234,9 @@
     if (const auto *fromRecord = std::get_if<AnswerFromRecord>(&verdict)) {
         answerFromRecord(task, fromRecord->record);
     } else if (const auto *notRun = std::get_if<AnswerNotRun>(&verdict)) {
-        end(task, refusalOf(notRun->code, "the request was not run"));
+        end(task, notRunEnd(notRun->code, "the request was not run"));
     } else if (const auto *unknown = std::get_if<AnswerUnknown>(&verdict)) {
-        end(task, unknownOf(unknown->code, "the request may have run"));
+        end(task, unknownEnd(unknown->code, "the request may have run"));
     }
 }
 
@@ -257,12 +257,12 @@
 {
     task->state = TaskState::Queued;
     queue.emplace(QueueKey {task->open.priority(), task->deadline}, task);
-    pump();
+    startQueued();
     if (task->state == TaskState::Queued) {
         task->expiry = loop.after(task->deadline - loop.now(), [this, task] {
             leaveQueue(task);
             reportRunEnd(task, RunOutcome::NotRun);
-            end(task, refusalOf("too-late", "its time ran out while it waited"));
+            end(task, notRunEnd("too-late", "its time ran out while it waited"));
         });
         hooks.onChanged();
     }
@@ -285,7 +285,7 @@
     return task.open.alone() ? running == 0 : running < limit.limit();
 }
 
-auto RequestTasks::Private::pump() -> void
+auto RequestTasks::Private::startQueued() -> void
 {
     while (!queue.empty() && mayStart(*queue.begin()->second)) {
         const auto task = queue.begin()->second;
@@ -345,8 +345,8 @@
     task->status = status;
     task->headers = headers;
     task->isStream = headerValue(headers, "content-type").starts_with("text/event-stream");
-    task->holdsHead = settings.isRunner && (status == HttpStatus::NotFound || status == HttpStatus::TooManyRequests || status == HttpStatus::Unavailable);
-    if (!task->holdsHead) {
+    task->withholdsHead = settings.isRunner && (status == HttpStatus::NotFound || status == HttpStatus::TooManyRequests || status == HttpStatus::Unavailable);
+    if (!task->withholdsHead) {
         sendHead(task);
     }
 }
@@ -383,15 +383,15 @@
     if (task->tail.size() > TailBytes) {
         task->tail.erase(0, task->tail.size() - TailBytes);
     }
-    if (task->keepsBody || task->holdsHead) {
-        task->held.append(data);
+    if (task->recordsAnswer || task->withholdsHead) {
+        task->bufferedBody.append(data);
     }
-    if (task->holdsHead) {
+    if (task->withholdsHead) {
         return;
     }
     sendData(task, data);
     // A caller that reads slowly holds back the engine's stream; nothing piles up here.
-    if (task->stream && !task->keepsBody && !task->isPaused && task->stream->pendingBytes() > settings.streamBuffer) {
+    if (task->stream && !task->recordsAnswer && !task->isPaused && task->stream->pendingBytes() > settings.streamBuffer) {
         task->isPaused = true;
         task->call->pause();
     }
@@ -408,40 +408,40 @@
     const bool isWhole = task->isStream ? task->tail.find(EndMark) != std::string::npos : how == CallEnd::Complete;
     if (isWhole) {
         limit.observeService(took, task->runningAtStart);
-        meanMicros += MeanWeight * (static_cast<double>(took.inMicros()) - meanMicros);
+        meanServiceMicros += MeanSampleWeight * (static_cast<double>(took.inMicros()) - meanServiceMicros);
         finishRun(task);
     } else if (task->state == TaskState::Ended || how == CallEnd::Cancelled) {
         reportRunEnd(task, RunOutcome::Unknown);
-        end(task, unknownOf("cancelled", "the caller left"));
+        end(task, unknownEnd("cancelled", "the caller left"));
     } else if (how == CallEnd::NotSent) {
         reportRunEnd(task, RunOutcome::NotRun);
-        end(task, refusalOf("target-down", "the target doesn't accept connections"));
-        if (hooks.suspectCrash) {
-            hooks.suspectCrash([](bool /*hasCrashed*/) {});
+        end(task, notRunEnd("target-down", "the target doesn't accept connections"));
+        if (hooks.checkForCrash) {
+            hooks.checkForCrash([](bool /*hasCrashed*/) {});
         }
     } else if (how == CallEnd::Timeout) {
         limit.observeOverload();
         reportRunEnd(task, RunOutcome::Unknown);
-        end(task, unknownOf("timeout", "the target didn't answer in time"));
+        end(task, unknownEnd("timeout", "the target didn't answer in time"));
     } else {
-        onBroken(task);
+        onCallBroken(task);
     }
-    pump();
+    startQueued();
     hooks.onChanged();
 }
 
 /// The whole answer is here. An engine that says that it has no such model, or no memory, has not run the request.
 auto RequestTasks::Private::finishRun(const TaskPtr &task) -> void
 {
-    if (task->holdsHead) {
-        const bool isMissing = task->status == HttpStatus::NotFound && task->held.find("not-resident") != std::string::npos;
+    if (task->withholdsHead) {
+        const bool isMissing = task->status == HttpStatus::NotFound && task->bufferedBody.find("not-resident") != std::string::npos;
         if (isMissing || task->status != HttpStatus::NotFound) {
             reportRunEnd(task, RunOutcome::NotRun);
-            end(task, refusalOf(isMissing ? "not-resident" : "overloaded", "the engine refused it"));
+            end(task, notRunEnd(isMissing ? "not-resident" : "overloaded", "the engine refused it"));
             return;
         }
         sendHead(task);
-        sendData(task, task->held);
+        sendData(task, task->bufferedBody);
     }
     if (task->open.alone()) {
         hooks.completedAlone(task->open.fingerprint());
@@ -451,18 +451,18 @@
 }
 
 /// The entry has to know whether the engine is gone before it sends the request elsewhere, or the next engine follows.
-auto RequestTasks::Private::onBroken(const TaskPtr &task) -> void
+auto RequestTasks::Private::onCallBroken(const TaskPtr &task) -> void
 {
     reportRunEnd(task, RunOutcome::Unknown);
-    if (!hooks.suspectCrash) {
-        end(task, unknownOf("target-broken", "the target's answer broke off"));
+    if (!hooks.checkForCrash) {
+        end(task, unknownEnd("target-broken", "the target's answer broke off"));
         return;
     }
-    task->state = TaskState::Asking;
-    hooks.suspectCrash([this, task](bool hasCrashed) {
+    task->state = TaskState::CheckingCrash;
+    hooks.checkForCrash([this, task](bool hasCrashed) {
         end(task,
-            hasCrashed ? unknownOf("target-crashed", "the engine crashed while it ran this request")
-                       : unknownOf("target-broken", "the engine's answer broke off"));
+            hasCrashed ? unknownEnd("target-crashed", "the engine crashed while it ran this request")
+                       : unknownEnd("target-broken", "the engine's answer broke off"));
     });
 }
 
@@ -480,7 +480,7 @@
         for (const auto &header : task->headers) {
             record.headers.emplace_back(header.name, header.value);
         }
-        record.body = task->held;
+        record.body = task->bufferedBody;
     }
     hooks.claims.runEnded(task->send, how, record);
 }
@@ -491,7 +491,7 @@
         return;
     }
     if (task->state != TaskState::Opening) {
-        useArtifacts(*task, -1);
+        adjustArtifactUses(*task, -1);
     }
     task->state = TaskState::Ended;
     task->expiry.cancel();
@@ -506,7 +506,7 @@
     stream->finish();
 }
 
-auto RequestTasks::Private::useArtifacts(const RequestTask &task, int change) -> void
+auto RequestTasks::Private::adjustArtifactUses(const RequestTask &task, int change) -> void
 {
     for (const auto &name : task.open.artifacts()) {
         auto &count = inUse[ArtifactName(name)];
@@ -524,12 +524,12 @@
     case TaskState::Claiming:
         hooks.claims.cancel(task->send);
         task->hasClaim = false;
-        end(task, unknownOf("cancelled", "the caller left"));
+        end(task, unknownEnd("cancelled", "the caller left"));
         return;
     case TaskState::Queued:
         leaveQueue(task);
         reportRunEnd(task, RunOutcome::NotRun);
-        end(task, refusalOf("cancelled", "the caller left before it ran"));
+        end(task, notRunEnd("cancelled", "the caller left before it ran"));
         hooks.onChanged();
         return;
     case TaskState::Running:
@@ -580,7 +580,7 @@
 
 auto RequestTasks::meanServiceTime() const -> Duration
 {
-    return Duration::micros(static_cast<std::int64_t>(d->meanMicros));
+    return Duration::micros(static_cast<std::int64_t>(d->meanServiceMicros));
 }
 
 auto RequestTasks::isInUse(const ArtifactName &artifact) const -> bool
@@ -597,7 +597,7 @@
 {
     std::vector<std::string> fingerprints;
     for (const auto &task : d->tasks) {
-        if (task->state == TaskState::Running || task->state == TaskState::Asking) {
+        if (task->state == TaskState::Running || task->state == TaskState::CheckingCrash) {
             fingerprints.push_back(task->open.fingerprint());
         }
     }
--- a/src/agent/requesttasks.h
+++ b/src/agent/requesttasks.h
@@ -36,7 +36,7 @@
 struct RequestHooks {
     std::function<bool()> isTargetReady;
     std::function<bool(const ArtifactName &artifact)> isUsable;
-    std::function<void(std::function<void(bool hasCrashed)> done)> suspectCrash; ///< null for plain services
+    std::function<void(std::function<void(bool hasCrashed)> done)> checkForCrash; ///< null for plain services
     std::function<void(const RequestId &request)> cancelAtTarget; ///< null for plain services
     std::function<bool(const std::string &fingerprint)> isQuarantined;
     std::function<void(const std::string &fingerprint)> completedAlone; ///< a suspect ran by itself and did no harm
--- a/src/agent/residencytask.cpp
+++ b/src/agent/residencytask.cpp
@@ -15,7 +15,7 @@
 constexpr int MissedStatusLimit = 2;
 /// A question that broke off tells nothing: a dying engine may still accept a connection. It is asked again after a pause, and an engine
 /// that stays silent this long counts as crashed.
-constexpr auto AskAgainPause = Duration::millis(30);
+constexpr auto StatusRetryDelay = Duration::millis(30);
 constexpr auto SilenceLimit = Duration::seconds(2);
 
 /// Nothing listens there: the engine is down, not slow.
@@ -25,7 +25,7 @@
 }
 
 /// Someone who wants to know whether the engine has crashed since.
-struct CrashQuestion {
+struct CrashCheck {
     std::uint64_t generation = 0; ///< of the engine when its call broke
     TimePoint since;
     std::function<void(bool hasCrashed)> done;
@@ -46,16 +46,16 @@
     Timer stepTimer;
     std::string planner; ///< whose surge copies are followed
     std::uint64_t surgeSequence = 0;
-    TimePoint requestedAt;
+    TimePoint surgeRequestedAt;
     std::vector<ArtifactName> surge;
     std::uint64_t generation = 0; ///< of the engine; 0 before the first status
-    std::uint64_t crashReported = 0;
+    std::uint64_t lastCrashedGeneration = 0;
     int missedStatus = 0;
     bool ready = false;
-    bool statusAsked = false;
-    std::vector<CrashQuestion> crashQuestions;
-    Timer askAgain;
-    TimePoint loadsHeldUntil; ///< the weight store asked for patience
+    bool isStatusPending = false;
+    std::vector<CrashCheck> crashChecks;
+    Timer statusRetry;
+    TimePoint loadsDelayedUntil; ///< the weight store asked for patience
 
     Private(EventLoop &ownerLoop, EngineClient &engineClient, ResidencySettings taskSettings, ResidencyHooks taskHooks)
         : loop(ownerLoop)
@@ -67,17 +67,17 @@
     }
 
     auto step() -> void;
-    auto askStatus() -> void;
+    auto requestStatus() -> void;
     auto onStatus(TimePoint askedAt, const Result<EngineView> &answer) -> void;
-    auto onGeneration(std::uint64_t now) -> void;
-    auto reportCrash(std::uint64_t dead) -> void;
+    auto onGeneration(std::uint64_t reported) -> void;
+    auto reportCrash(std::uint64_t crashedGeneration) -> void;
     auto raiseFence(Fence fence) -> void;
     auto giveOrders() -> void;
     auto giveOrder(const ResidencyOrder &order) -> bool;
     auto wants() const -> std::vector<WantedArtifact>;
     auto retired() const -> std::vector<ArtifactName>;
     auto setReady(bool isReady) -> void;
-    auto answerCrashQuestions(TimePoint askedAt, const Result<EngineView> &answer) -> void;
+    auto completeCrashChecks(TimePoint askedAt, const Result<EngineView> &answer) -> void;
 };
 
 auto ResidencyTask::Private::setReady(bool isReady) -> void
@@ -90,56 +90,56 @@
 }
 
 /// Tells once per generation that its engine is gone.
-auto ResidencyTask::Private::reportCrash(std::uint64_t dead) -> void
+auto ResidencyTask::Private::reportCrash(std::uint64_t crashedGeneration) -> void
 {
-    if (dead != 0 && dead > crashReported) {
-        crashReported = dead;
-        LOG(WARNING) << "engine: crashed generation=" << dead;
-        hooks.onCrash(dead);
+    if (crashedGeneration != 0 && crashedGeneration > lastCrashedGeneration) {
+        lastCrashedGeneration = crashedGeneration;
+        LOG(WARNING) << "engine: crashed generation=" << crashedGeneration;
+        hooks.onCrash(crashedGeneration);
     }
 }
 
-auto ResidencyTask::Private::onGeneration(std::uint64_t now) -> void
+auto ResidencyTask::Private::onGeneration(std::uint64_t reported) -> void
 {
-    if (generation != 0 && now > generation) {
+    if (generation != 0 && reported > generation) {
         reportCrash(generation);
     }
-    generation = now;
+    generation = reported;
 }
 
 /// A status that was asked for before the call broke says nothing about it; such questions wait for the next.
-auto ResidencyTask::Private::answerCrashQuestions(TimePoint askedAt, const Result<EngineView> &answer) -> void
+auto ResidencyTask::Private::completeCrashChecks(TimePoint askedAt, const Result<EngineView> &answer) -> void
 {
-    std::vector<CrashQuestion> open;
-    open.swap(crashQuestions);
-    for (auto &question : open) {
-        const bool isNewer = answer && answer.value().status.generation > question.generation;
-        const bool isAlive = answer && askedAt >= question.since;
-        const bool isSilent = !answer && loop.now() - question.since > SilenceLimit;
+    std::vector<CrashCheck> open;
+    open.swap(crashChecks);
+    for (auto &check : open) {
+        const bool isNewer = answer && answer.value().status.generation > check.generation;
+        const bool isAlive = answer && askedAt >= check.since;
+        const bool isSilent = !answer && loop.now() - check.since > SilenceLimit;
         if (isSilent) {
-            reportCrash(question.generation);
+            reportCrash(check.generation);
         }
         if (isGone(answer) || isNewer || isAlive || isSilent) {
-            question.done(!isAlive || isNewer);
+            check.done(!isAlive || isNewer);
         } else {
-            crashQuestions.push_back(std::move(question));
+            crashChecks.push_back(std::move(check));
         }
     }
-    if (!crashQuestions.empty()) {
-        askAgain = loop.after(AskAgainPause, [this] { askStatus(); });
+    if (!crashChecks.empty()) {
+        statusRetry = loop.after(StatusRetryDelay, [this] { requestStatus(); });
     }
 }
 
 auto ResidencyTask::Private::onStatus(TimePoint askedAt, const Result<EngineView> &answer) -> void
 {
-    statusAsked = false;
+    isStatusPending = false;
     // First the crash, with all that was in flight; then those who asked, who end their requests.
     if (isGone(answer)) {
         reportCrash(generation);
     } else if (answer) {
         onGeneration(answer.value().status.generation);
     }
-    answerCrashQuestions(askedAt, answer);
+    completeCrashChecks(askedAt, answer);
     if (!answer) {
         ++missedStatus;
         if (isGone(answer) || missedStatus >= MissedStatusLimit) {
@@ -156,12 +156,12 @@
     step();
 }
 
-auto ResidencyTask::Private::askStatus() -> void
+auto ResidencyTask::Private::requestStatus() -> void
 {
-    if (statusAsked) {
+    if (isStatusPending) {
         return;
     }
-    statusAsked = true;
+    isStatusPending = true;
     const auto askedAt = loop.now();
     if (ledger) {
         ledger->statusRequested(askedAt);
@@ -187,13 +187,13 @@
 {
     if (!ledger) {
         if (!ready) {
-            askStatus();
+            requestStatus();
         }
         return;
     }
     const auto action = ledger->nextAction(loop.now());
     if (action.kind == LedgerAction::Kind::RequestStatus) {
-        askStatus();
+        requestStatus();
     } else if (action.kind == LedgerAction::Kind::RaiseFence) {
         raiseFence(action.fence);
     }
@@ -220,7 +220,7 @@
             }
         }
     }
-    if (loop.now() - requestedAt < settings.surgeLifetime) {
+    if (loop.now() - surgeRequestedAt < settings.surgeLifetime) {
         for (const auto &name : surge) {
             add(name, false);
         }
@@ -255,8 +255,8 @@
     };
     bool given = false;
     while (const auto order = nextResidencyOrder(*ledger, input)) {
-        const bool isHeld = order->kind == OrderKind::Load && loop.now() < loadsHeldUntil;
-        if (isHeld || !giveOrder(*order)) {
+        const bool isDelayed = order->kind == OrderKind::Load && loop.now() < loadsDelayedUntil;
+        if (isDelayed || !giveOrder(*order)) {
             break;
         }
         given = true;
@@ -278,7 +278,7 @@
     engine.order(*engineOrder, [this, id = engineOrder->id](const OrderReply &reply) {
         ledger->orderAnswered(id, reply.answer);
         if (reply.retryAfter > Duration()) {
-            loadsHeldUntil = loop.now() + reply.retryAfter;
+            loadsDelayedUntil = loop.now() + reply.retryAfter;
         }
         // A refused order is given again at the next regular step, not at once: its reason may last.
         if (reply.answer == OrderAnswer::Accepted) {
@@ -292,7 +292,7 @@
     : d(std::make_unique<Private>(loop, engine, std::move(settings), std::move(hooks)))
 {
     d->stepTimer = loop.every(d->settings.stepPeriod, [this] { d->step(); });
-    d->askStatus();
+    d->requestStatus();
 }
 
 ResidencyTask::~ResidencyTask() = default;
@@ -370,15 +370,15 @@
     }
     d->planner = planner;
     d->surgeSequence = sequence;
-    d->requestedAt = d->loop.now();
+    d->surgeRequestedAt = d->loop.now();
     d->surge = std::move(artifacts);
     d->step();
 }
 
-auto ResidencyTask::suspectCrash(std::function<void(bool hasCrashed)> done) -> void
+auto ResidencyTask::checkForCrash(std::function<void(bool hasCrashed)> done) -> void
 {
-    d->crashQuestions.push_back({d->generation, d->loop.now(), std::move(done)});
-    d->askStatus();
+    d->crashChecks.push_back({d->generation, d->loop.now(), std::move(done)});
+    d->requestStatus();
 }
 
 } // namespace KingCup
--- a/src/agent/residencytask.h
+++ b/src/agent/residencytask.h
@@ -60,7 +60,7 @@
     /// Replaces this planner's last request; a lower sequence is ignored.
     auto surgeRequested(const std::string &planner, std::uint64_t sequence, std::vector<ArtifactName> artifacts) -> void;
     /// A call to the engine broke: finds out whether the engine is gone, then says so.
-    auto suspectCrash(std::function<void(bool hasCrashed)> done) -> void;
+    auto checkForCrash(std::function<void(bool hasCrashed)> done) -> void;
 
     struct Private;
 
--- a/src/entry/callerrequest.cpp
+++ b/src/entry/callerrequest.cpp
@@ -50,7 +50,7 @@
 }
 
 /// Budget, priority and key: the same for models and plain services.
-auto readTerms(const HttpRequest &http, const Service &service, CallerRequest &request) -> std::optional<Problem>
+auto readRequestHeaders(const HttpRequest &http, const Service &service, CallerRequest &request) -> std::optional<Problem>
 {
     request.priority = service.priority;
     request.budget = service.timeBudget;
@@ -85,7 +85,7 @@
     if (service == declarations.services.end() || service->second.kind != ServiceKind::Plain) {
         return Problem {NotFound, "unknown-service", "no plain service '" + name.text() + "' is declared"};
     }
-    if (auto problem = readTerms(http, service->second, request)) {
+    if (auto problem = readRequestHeaders(http, service->second, request)) {
         return problem;
     }
     request.service = name;
@@ -123,7 +123,7 @@
         const auto version = defaults.versionOf(name);
         resolved->artifacts.front() = version.isEmpty() ? resolved->artifacts.front() : version;
     }
-    if (auto problem = readTerms(http, service->second, request)) {
+    if (auto problem = readRequestHeaders(http, service->second, request)) {
         return problem;
     }
     request.service = resolved->service;
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -33,7 +33,7 @@
 constexpr auto LeaveCheckPeriod = Duration::millis(50);
 constexpr auto ForecastAhead = Duration::seconds(5);
 constexpr auto HousekeepingPeriod = Duration::millis(500);
-constexpr std::size_t MostExplained = 200;
+constexpr std::size_t MaxExplained = 200;
 constexpr int ExitCutOff = 1;
 
 auto routingOptions(const DaemonSettings &settings) -> RoutingOptions
@@ -141,7 +141,7 @@
     auto handle(const std::shared_ptr<HttpExchange> &exchange) -> void;
     auto metricsText() -> std::string;
     auto isReady() const -> bool;
-    auto checkLeft() -> void;
+    auto checkDrained() -> void;
 };
 
 auto Entry::Private::buildFleet() -> void
@@ -152,7 +152,7 @@
     };
     hooks.onCapacity = [this] {
         if (flows) {
-            flows->pump();
+            flows->retryWaiting();
         }
     };
     hooks.onSuspects = [this](const Wire::Suspects &message) {
@@ -187,7 +187,7 @@
         return versions.effective(model);
     };
     hooks.onMissing = [this](const ArtifactName & /*artifact*/) {
-        planner->planSoon();
+        planner->schedulePlan();
     };
     hooks.onSuspects = [this] {
         fleet->sendAgents(suspectsFrame());
@@ -363,7 +363,7 @@
 auto Entry::Private::explain(const std::string &subject) const -> std::vector<RecentDecision>
 {
     std::vector<RecentDecision> list;
-    for (const auto &decision : decisions.find(subject, MostExplained)) {
+    for (const auto &decision : decisions.find(subject, MaxExplained)) {
         list.push_back({loop.now() - decision.at, decision.part, decision.subject, decision.text});
     }
     return list;
@@ -530,7 +530,7 @@
 
 // [SECTION] Leaving
 
-auto Entry::Private::checkLeft() -> void
+auto Entry::Private::checkDrained() -> void
 {
     const auto open = flows->open();
     const bool isLate = loop.now() - leavingSince > settings.timing.drainLimit;
@@ -568,7 +568,7 @@
     d->leavingSince = d->loop.now();
     LOG(INFO) << "leaving: started open=" << d->flows->open();
     d->flows->setLeaving();
-    d->leaveCheck = d->loop.every(LeaveCheckPeriod, [this] { d->checkLeft(); });
+    d->leaveCheck = d->loop.every(LeaveCheckPeriod, [this] { d->checkDrained(); });
 }
 
 auto Entry::exitCode() const -> int
--- a/src/entry/eventstream.cpp
+++ b/src/entry/eventstream.cpp
@@ -17,7 +17,7 @@
 
 auto EventStream::tokens() const -> std::uint64_t
 {
-    return m_earlier + m_reader->events();
+    return m_earlierTokens + m_reader->events();
 }
 
 auto EventStream::hasEnded() const -> bool
@@ -27,19 +27,19 @@
 
 auto EventStream::feed(std::string_view bytes) -> std::string
 {
-    m_whole.clear();
+    m_wholeEvents.clear();
     m_reader->feed(bytes);
     if (m_reader->isDone() && !m_hasEnded) {
         m_hasEnded = true;
-        m_whole += EndEvent;
+        m_wholeEvents += EndEvent;
     }
-    return std::move(m_whole);
+    return std::move(m_wholeEvents);
 }
 
 auto EventStream::beginAttempt() -> void
 {
-    m_earlier += m_reader ? m_reader->events() : 0;
-    m_reader.emplace([this](std::string_view /*data*/, std::string_view raw) { m_whole.append(raw); });
+    m_earlierTokens += m_reader ? m_reader->events() : 0;
+    m_reader.emplace([this](std::string_view /*data*/, std::string_view raw) { m_wholeEvents.append(raw); });
 }
 
 } // namespace KingCup
--- a/src/entry/eventstream.h
+++ b/src/entry/eventstream.h
@@ -31,8 +31,8 @@
 
 private:
     std::optional<EventStreamReader> m_reader;
-    std::uint64_t m_earlier = 0; ///< tokens of earlier attempts
-    std::string m_whole; ///< events completed by the bytes being fed
+    std::uint64_t m_earlierTokens = 0; ///< tokens of earlier attempts
+    std::string m_wholeEvents; ///< events completed by the bytes being fed
     bool m_hasEnded = false;
 };
 
--- a/src/entry/fleet.cpp
+++ b/src/entry/fleet.cpp
@@ -46,7 +46,7 @@
     std::uint64_t sequence = 0; ///< of the last report
     Wire::LoadReport report;
     bool hasReport = false;
-    TimePoint usableAt; ///< when it was last usable
+    TimePoint lastUsableAt; ///< when it was last usable
     bool drainSent = false; ///< for the list's mark
 };
 
@@ -60,10 +60,10 @@
     Membership membership;
     std::unique_ptr<PeerLinks> agents;
     std::unique_ptr<PeerLinks> entries;
-    std::map<std::string, Agent> known; // agents that have said hello
+    std::map<std::string, Agent> knownAgents; // agents that have said hello
     std::map<std::string, Revision> entryRevisions;
     std::map<TargetId, ServiceName> declaredServices;
-    Timer watch;
+    Timer advanceTimer;
 
     Private(EventLoop &ownerLoop, FleetSettings fleetSettings, Router &theRouter, FleetHooks fleetHooks)
         : loop(ownerLoop)
@@ -80,7 +80,7 @@
     auto onReport(const std::string &id, const Wire::LoadReport &report) -> void;
     auto onDown(const std::string &id) -> void;
     auto advance() -> void;
-    auto tellDrains() -> void;
+    auto sendDrains() -> void;
     auto serviceOf(const std::string &id, const Agent &agent) const -> ServiceName;
     auto isUsable(const std::string &id, const Agent &agent) const -> bool;
 };
@@ -115,7 +115,7 @@
 
 auto Fleet::Private::onHello(const std::string &id, const Wire::Hello &hello) -> void
 {
-    auto &agent = known[id];
+    auto &agent = knownAgents[id];
     agent.zone = ZoneName(hello.zone());
     agent.service = ServiceName(hello.service());
     agent.isRunner = hello.runner();
@@ -147,8 +147,8 @@
 
 auto Fleet::Private::onReport(const std::string &id, const Wire::LoadReport &report) -> void
 {
-    const auto found = known.find(id);
-    if (found == known.end() || report.sequence() <= found->second.sequence) {
+    const auto found = knownAgents.find(id);
+    if (found == knownAgents.end() || report.sequence() <= found->second.sequence) {
         return;
     }
     auto &agent = found->second;
@@ -171,7 +171,7 @@
 auto Fleet::Private::onDown(const std::string &id) -> void
 {
     membership.connectionLost(id);
-    if (known.contains(id)) {
+    if (knownAgents.contains(id)) {
         router.targetDown(TargetId(id), loop.now());
     }
 }
@@ -183,9 +183,9 @@
 }
 
 /// An agent can't read the platform's list; it must refuse new work from every entry once its host is marked as leaving.
-auto Fleet::Private::tellDrains() -> void
+auto Fleet::Private::sendDrains() -> void
 {
-    for (auto &[id, agent] : known) {
+    for (auto &[id, agent] : knownAgents) {
         const auto member = membership.find(id);
         const bool isMarked = member && member->host.leaving;
         if (isMarked == agent.drainSent || !agents->isConnected(id)) {
@@ -200,15 +200,15 @@
 
 auto Fleet::Private::advance() -> void
 {
-    tellDrains();
-    const auto before = membership.live(HostRole::Agent);
+    sendDrains();
+    const auto liveBefore = membership.live(HostRole::Agent);
     membership.advance(loop.now());
-    for (auto &[id, agent] : known) {
+    for (auto &[id, agent] : knownAgents) {
         if (isUsable(id, agent)) {
-            agent.usableAt = loop.now();
+            agent.lastUsableAt = loop.now();
         }
     }
-    for (const auto &id : before) {
+    for (const auto &id : liveBefore) {
         const auto member = membership.find(id);
         if (member && member->state == MemberState::Suspect && agents->isConnected(id)) {
             LOG(WARNING) << "target: silent, connecting anew id=" << id;
@@ -223,7 +223,7 @@
 {
     d->agents = std::make_unique<PeerLinks>(loop, "target", d->settings.peers, d->settings.heartbeat, d->linkHooks(true));
     d->entries = std::make_unique<PeerLinks>(loop, "entry", d->settings.peers, d->settings.heartbeat, d->linkHooks(false));
-    d->watch = loop.every(d->settings.heartbeat, [this] { d->advance(); });
+    d->advanceTimer = loop.every(d->settings.heartbeat, [this] { d->advance(); });
 }
 
 Fleet::~Fleet() = default;
@@ -242,7 +242,7 @@
             shown.zone = member.host.zone;
             shown.state = member.state;
             shown.silentFor = d->loop.now() - member.lastSeen;
-            if (const auto agent = d->known.find(shown.id); agent != d->known.end()) {
+            if (const auto agent = d->knownAgents.find(shown.id); agent != d->knownAgents.end()) {
                 shown.report = agent->second.report;
                 shown.revision = Revision(shown.report.revision());
             }
@@ -258,7 +258,7 @@
 auto Fleet::runners() const -> std::vector<RunnerState>
 {
     std::vector<RunnerState> list;
-    for (const auto &[id, agent] : d->known) {
+    for (const auto &[id, agent] : d->knownAgents) {
         if (!agent.isRunner || !agent.hasReport || agent.report.memory_total() == 0) {
             continue;
         }
@@ -271,7 +271,7 @@
         runner.isUsable = d->isUsable(id, agent);
         const auto member = d->membership.find(id);
         runner.isLeaving = agent.report.leaving() || (member && member->state == MemberState::Leaving);
-        runner.downFor = runner.isUsable ? Duration() : d->loop.now() - agent.usableAt;
+        runner.downFor = runner.isUsable ? Duration() : d->loop.now() - agent.lastUsableAt;
         for (const auto &resident : agent.report.residents()) {
             runner.residents.push_back({ArtifactName(resident.artifact()), Bytes(resident.bytes()), resident.loading()});
         }
@@ -283,7 +283,7 @@
 auto Fleet::holderReports() const -> std::map<TargetId, HolderReport>
 {
     std::map<TargetId, HolderReport> reports;
-    for (const auto &[id, agent] : d->known) {
+    for (const auto &[id, agent] : d->knownAgents) {
         if (!agent.isRunner || !d->isUsable(id, agent)) {
             continue;
         }
@@ -322,7 +322,7 @@
     for (const auto &[id, target] : declarations.targets) {
         d->declaredServices[id] = target.service;
     }
-    for (const auto &[id, agent] : d->known) {
+    for (const auto &[id, agent] : d->knownAgents) {
         if (agent.service.isEmpty() && d->agents->isConnected(id)) {
             d->router.targetUp(TargetId(id), agent.zone, d->serviceOf(id, agent), d->loop.now());
         }
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -11,7 +11,7 @@
 
 constexpr auto FloorSubject = "floor";
 constexpr auto SurgeSubject = "surge";
-constexpr auto SoonDelay = Duration::millis(100); // a missing copy is planned for after this, not at the next regular round
+constexpr auto SchedulePlanDelay = Duration::millis(100); // a missing copy is planned for after this, not at the next regular round
 constexpr auto SettleTime = Duration::seconds(2); // without a further runner, before the first floor is planned
 constexpr auto SurgeRepeat = Duration::seconds(5); // well below the agents' ResidencySettings::surgeLifetime
 constexpr int RoundsPerRead = 3; // rounds between two reads of the floor's row by entries that don't plan it
@@ -33,14 +33,14 @@
     Declarations declarations;
     bool hasDeclarations = false;
     Plan floor;
-    Plan wantedFloor;
+    Plan desiredFloor;
     RowVersion floorVersion;
     std::string floorText;
     bool storeReachable = false;
     bool reading = false;
     bool writing = false;
-    std::size_t runnersSeen = 0;
-    TimePoint runnersSince;
+    std::size_t lastRunnerCount = 0;
+    TimePoint runnerCountChangedAt;
     std::uint64_t surgeSequence = 0;
     std::map<TargetId, PublishedSurge> publishedSurge;
     int round = 0;
@@ -65,7 +65,7 @@
     auto planSurge() -> void;
     auto publishSurge(const TargetId &target, const std::vector<ArtifactName> &artifacts) -> void;
     auto input() const -> PlacementInput;
-    auto note(const std::vector<PlacementDecision> &list) -> void;
+    auto recordDecisions(const std::vector<PlacementDecision> &list) -> void;
     auto adoptFloor(RowVersion version, const std::string &text) -> void;
 };
 
@@ -80,7 +80,7 @@
     return input;
 }
 
-auto Planner::Private::note(const std::vector<PlacementDecision> &list) -> void
+auto Planner::Private::recordDecisions(const std::vector<PlacementDecision> &list) -> void
 {
     for (const auto &decision : list) {
         const std::string text = std::string(toString(decision.kind)) + " target=" + decision.target.text() + " reason=\"" + decision.reason + "\"";
@@ -151,7 +151,7 @@
         return;
     }
     auto result = planFloor(input(), settings.placement);
-    wantedFloor = result.plan;
+    desiredFloor = result.plan;
     for (const auto &artifact : result.unplaced) {
         LOG_EVERY_N(ERROR, 60) << "placement: no runner has capacity artifact=" << artifact;
     }
@@ -168,7 +168,7 @@
     }
     const auto row = composeFloorRow(floorInput);
     if (row) {
-        note(result.decisions);
+        recordDecisions(result.decisions);
         writeFloor(*row);
     }
 }
@@ -178,11 +178,11 @@
 auto Planner::Private::isFleetSettled() -> bool
 {
     const auto count = hooks.runners().size();
-    if (count != runnersSeen) {
-        runnersSeen = count;
-        runnersSince = loop.now();
+    if (count != lastRunnerCount) {
+        lastRunnerCount = count;
+        runnerCountChangedAt = loop.now();
     }
-    return count > 0 && loop.now() - runnersSince >= SettleTime;
+    return count > 0 && loop.now() - runnerCountChangedAt >= SettleTime;
 }
 
 auto Planner::Private::writeFloor(const FloorRow &row) -> void
@@ -206,8 +206,8 @@
 
 auto Planner::Private::planSurge() -> void
 {
-    const auto result = surge.plan(input(), wantedFloor, loop.now());
-    note(result.decisions);
+    const auto result = surge.plan(input(), desiredFloor, loop.now());
+    recordDecisions(result.decisions);
     ++surgeSequence;
     for (const auto &runner : hooks.runners()) {
         publishSurge(runner.id, result.surge.artifactsOn(runner.id));
@@ -253,7 +253,7 @@
 {
     d->declarations = declarations;
     d->hasDeclarations = true;
-    planSoon();
+    schedulePlan();
 }
 
 auto Planner::floorRead(RowVersion version, const std::string &text) -> void
@@ -261,10 +261,10 @@
     d->adoptFloor(version, text);
 }
 
-auto Planner::planSoon() -> void
+auto Planner::schedulePlan() -> void
 {
     if (!d->soon.isActive()) {
-        d->soon = d->loop.after(SoonDelay, [this] { d->plan(); });
+        d->soon = d->loop.after(SchedulePlanDelay, [this] { d->plan(); });
     }
 }
 
--- a/src/entry/planner.h
+++ b/src/entry/planner.h
@@ -57,7 +57,7 @@
     // Commands
     auto adopt(const Declarations &declarations) -> void;
     auto floorRead(RowVersion version, const std::string &text) -> void; ///< from the table or a peer
-    auto planSoon() -> void; ///< before the next regular round: a request found no copy, say
+    auto schedulePlan() -> void; ///< before the next regular round: a request found no copy, say
 
     struct Private;
 
--- a/src/entry/requestflows.cpp
+++ b/src/entry/requestflows.cpp
@@ -20,8 +20,8 @@
 namespace
 {
 
-constexpr auto PumpPeriod = Duration::millis(50); // while requests wait
-constexpr auto RetryLater = Duration::seconds(1);
+constexpr auto RetryWaitingPeriod = Duration::millis(50); // while requests wait
+constexpr auto FallbackRetryAfter = Duration::seconds(1);
 constexpr std::size_t BytesPerToken = 4; // of a request's body, about
 
 enum class FlowState { Waiting, Trying, Ended };
@@ -44,11 +44,11 @@
     int status = 0;
     HttpHeaders headers;
     bool isStream = false; // server-sent events
-    bool headSeen = false;
+    bool headReceived = false;
     EventStream events;
-    std::string held; // a plain answer, until it is whole
-    Wire::End last;
-    bool endSeen = false;
+    std::string bufferedBody; // a plain answer, until it is whole
+    Wire::End lastEnd;
+    bool endReceived = false;
 };
 using FlowPtr = std::shared_ptr<Flow>;
 
@@ -64,7 +64,7 @@
     }
 }
 
-auto healthOf(const AttemptEnd &end) -> AttemptResult
+auto attemptResultOf(const AttemptEnd &end) -> AttemptResult
 {
     if (end.outcome == AttemptOutcome::Delivered) {
         return AttemptResult::Delivered;
@@ -88,7 +88,7 @@
     RetryBudget budget;
     std::unordered_map<RequestId, FlowPtr> flows;
     std::map<LaneName, RoutingRequest> lanes; // what a lane's requests need
-    Timer pumpTimer;
+    Timer retryWaitingTimer;
     std::uint64_t count = 0;
     bool leaving = false;
 
@@ -106,7 +106,7 @@
     }
     auto admit(const FlowPtr &flow) -> void;
     auto wait(const FlowPtr &flow) -> void;
-    auto pump() -> void;
+    auto retryWaiting() -> void;
     auto hasCapacity(const LaneName &lane, Priority priority) const -> bool;
     auto routingRequest(const Flow &flow) const -> RoutingRequest;
     auto tryNow(const FlowPtr &flow) -> bool;
@@ -117,9 +117,9 @@
     auto onHead(const FlowPtr &flow, const Wire::Head &head) -> void;
     auto onData(const FlowPtr &flow, const std::string &body) -> void;
     auto onAttemptEnd(const FlowPtr &flow, const AttemptEnd &end) -> void;
-    auto holdBack(const FlowPtr &flow) -> void;
+    auto applyBackpressure(const FlowPtr &flow) -> void;
     auto decide(const FlowPtr &flow, const AttemptEnd &end) -> void;
-    auto noteCrash(const Flow &flow, const AttemptEnd &end) -> void;
+    auto recordCrash(const Flow &flow, const AttemptEnd &end) -> void;
     auto deliver(const FlowPtr &flow) -> void;
     auto refuse(const FlowPtr &flow, const Problem &problem) -> void;
     auto finish(const FlowPtr &flow, CallerOutcome outcome, const std::string &code) -> void;
@@ -184,8 +184,8 @@
         refuse(flow, {status, toString(answer.refusal), answer.reason, outcome, answer.retryAfter});
         return;
     }
-    if (!pumpTimer.isActive()) {
-        pumpTimer = parts.loop.every(PumpPeriod, [this] { pump(); });
+    if (!retryWaitingTimer.isActive()) {
+        retryWaitingTimer = parts.loop.every(RetryWaitingPeriod, [this] { retryWaiting(); });
     }
 }
 
@@ -200,14 +200,14 @@
     return std::any_of(targets.begin(), targets.end(), [&](const TargetId &target) { return parts.router.hasCapacity(target, priority, now()); });
 }
 
-auto RequestFlows::Private::pump() -> void
+auto RequestFlows::Private::retryWaiting() -> void
 {
     for (const auto &id : queue.expire(now())) {
         const auto found = flows.find(id);
         if (found != flows.end()) {
             const auto flow = found->second;
             const auto outcome = flow->mayHaveRun ? CallerOutcome::Unknown : CallerOutcome::NotRun;
-            refuse(flow, {HttpStatus::Unavailable, "too-late", "it could no longer be answered in time", outcome, RetryLater});
+            refuse(flow, {HttpStatus::Unavailable, "too-late", "it could no longer be answered in time", outcome, FallbackRetryAfter});
         }
     }
     std::vector<FlowPtr> again;
@@ -228,7 +228,7 @@
         wait(flow);
     }
     if (queue.size() == 0) {
-        pumpTimer.cancel();
+        retryWaitingTimer.cancel();
     }
 }
 
@@ -312,9 +312,9 @@
     flow->target = choice.target;
     flow->sentAt = now();
     ++flow->attempts;
-    flow->headSeen = false;
-    flow->endSeen = false;
-    flow->held.clear();
+    flow->headReceived = false;
+    flow->endReceived = false;
+    flow->bufferedBody.clear();
     log(*flow, "chose target", "target=" + choice.target.text() + " attempt=" + std::to_string(flow->attempts) + " reason=\"" + choice.reason + "\"");
     parts.router.requestStarted(routingRequest(*flow), flow->target, now());
     flow->stream = hooks.openStream(choice.target);
@@ -366,8 +366,8 @@
     } else if (frame.has_data()) {
         onData(flow, frame.data().body());
     } else if (frame.has_end()) {
-        flow->last = frame.end();
-        flow->endSeen = true;
+        flow->lastEnd = frame.end();
+        flow->endReceived = true;
         // Whatever the agent says: a stream without its end mark isn't whole, and is never passed off as such.
         const bool isCut = frame.end().outcome() == Wire::OUTCOME_DELIVERED && flow->isStream && !flow->events.hasEnded();
         const auto outcome = isCut ? AttemptOutcome::Unknown : outcomeOf(frame.end());
@@ -377,10 +377,10 @@
 
 auto RequestFlows::Private::onHead(const FlowPtr &flow, const Wire::Head &head) -> void
 {
-    if (flow->headSeen) {
+    if (flow->headReceived) {
         return;
     }
-    flow->headSeen = true;
+    flow->headReceived = true;
     flow->status = static_cast<int>(head.status());
     flow->headers.clear();
     for (const auto &header : head.headers()) {
@@ -404,11 +404,11 @@
         if (isFirst && flow->events.tokens() > 0) {
             parts.metrics.observe("first_token_seconds", (now() - flow->arrivedAt).inSeconds());
         }
-        holdBack(flow);
+        applyBackpressure(flow);
         return;
     }
-    flow->held.append(body);
-    if (flow->held.size() > settings.heldAnswer) {
+    flow->bufferedBody.append(body);
+    if (flow->bufferedBody.size() > settings.maxBufferedAnswer) {
         flow->stream->reset();
         dropAttempt(flow, AttemptResult::Cancelled);
         refuse(flow, {HttpStatus::BadGateway, "answer-too-large", "the target's answer is larger than an entry holds", CallerOutcome::Unknown, {}});
@@ -416,7 +416,7 @@
 }
 
 /// A caller that reads slowly holds back its stream all the way to the engine.
-auto RequestFlows::Private::holdBack(const FlowPtr &flow) -> void
+auto RequestFlows::Private::applyBackpressure(const FlowPtr &flow) -> void
 {
     if (flow->isPaused || flow->exchange->pendingBytes() <= settings.streamBuffer) {
         return;
@@ -439,7 +439,7 @@
         return;
     }
     const auto took = now() - flow->sentAt;
-    parts.router.requestEnded(flow->request.id, flow->target, healthOf(end), now());
+    parts.router.requestEnded(flow->request.id, flow->target, attemptResultOf(end), now());
     if (flow->stream) {
         flow->stream->finish();
         flow->stream = nullptr;
@@ -449,13 +449,13 @@
         parts.demand.served(demandOf(*flow), took);
     }
     flow->mayHaveRun = flow->mayHaveRun || end.outcome == AttemptOutcome::Unknown;
-    noteCrash(*flow, end);
+    recordCrash(*flow, end);
     decide(flow, end);
-    pump();
+    retryWaiting();
 }
 
 /// The next target must not meet the request unprepared.
-auto RequestFlows::Private::noteCrash(const Flow &flow, const AttemptEnd &end) -> void
+auto RequestFlows::Private::recordCrash(const Flow &flow, const AttemptEnd &end) -> void
 {
     if (end.code != "target-crashed") {
         return;
@@ -495,10 +495,14 @@
         return;
     }
     const bool isNotRun = decision.action == RetryAction::SayNotRun && !flow->mayHaveRun;
-    const auto retryAfter = Duration::micros(flow->last.retry_after_us());
+    const auto retryAfter = Duration::micros(flow->lastEnd.retry_after_us());
     const int status = isNotRun ? HttpStatus::Unavailable : end.code == "timeout" ? HttpStatus::GatewayTimeout : HttpStatus::BadGateway;
     refuse(flow,
-           {status, end.code, flow->endSeen ? flow->last.detail() : decision.reason, isNotRun ? CallerOutcome::NotRun : CallerOutcome::Unknown, retryAfter});
+           {status,
+            end.code,
+            flow->endReceived ? flow->lastEnd.detail() : decision.reason,
+            isNotRun ? CallerOutcome::NotRun : CallerOutcome::Unknown,
+            retryAfter});
 }
 
 auto RequestFlows::Private::deliver(const FlowPtr &flow) -> void
@@ -509,10 +513,10 @@
         auto headers = flow->headers;
         headers.push_back({"kingcup-outcome", toString(CallerOutcome::Delivered)});
         headers.push_back({"kingcup-request", flow->request.id.text()});
-        if (flow->last.from_record()) {
+        if (flow->lastEnd.from_record()) {
             headers.push_back({"kingcup-replayed", "true"});
         }
-        flow->exchange->respond(flow->status, std::move(headers), std::move(flow->held));
+        flow->exchange->respond(flow->status, std::move(headers), std::move(flow->bufferedBody));
     }
     finish(flow, CallerOutcome::Delivered, "ok");
 }
@@ -582,7 +586,7 @@
     if (flow->mayHaveRun) {
         refuse(flow, {HttpStatus::GatewayTimeout, "timeout", "the time budget ran out", CallerOutcome::Unknown, {}});
     } else {
-        refuse(flow, {HttpStatus::Unavailable, "too-late", "the time budget ran out before it ran", CallerOutcome::NotRun, RetryLater});
+        refuse(flow, {HttpStatus::Unavailable, "too-late", "the time budget ran out before it ran", CallerOutcome::NotRun, FallbackRetryAfter});
     }
 }
 
@@ -591,7 +595,7 @@
     const auto outcome = flow->state == FlowState::Trying || flow->mayHaveRun ? CallerOutcome::Unknown : CallerOutcome::NotRun;
     dropAttempt(flow, AttemptResult::Cancelled);
     finish(flow, outcome, "caller-left");
-    pump();
+    retryWaiting();
 }
 
 RequestFlows::RequestFlows(FlowParts parts, FlowSettings settings, FlowHooks hooks)
@@ -617,7 +621,7 @@
     for (const auto &[name, service] : declarations.services) {
         d->queue.setShare(name, service.share);
     }
-    d->pump();
+    d->retryWaiting();
 }
 
 auto RequestFlows::handle(const std::shared_ptr<HttpExchange> &exchange) -> void
@@ -628,7 +632,7 @@
     defaults.versionOf = d->hooks.versionOf;
     auto read = readCallerRequest(exchange->request(), id, d->declarations, defaults);
     if (d->leaving) {
-        read = Problem {HttpStatus::Unavailable, "leaving", "this entry is stopping; ask another", CallerOutcome::NotRun, RetryLater};
+        read = Problem {HttpStatus::Unavailable, "leaving", "this entry is stopping; ask another", CallerOutcome::NotRun, FallbackRetryAfter};
     }
     if (const auto *problem = std::get_if<Problem>(&read)) {
         LOG(INFO) << "caller: refused request=" << id << " code=" << problem->code << " peer=" << exchange->request().peer;
@@ -648,9 +652,9 @@
     d->admit(flow);
 }
 
-auto RequestFlows::pump() -> void
+auto RequestFlows::retryWaiting() -> void
 {
-    d->pump();
+    d->retryWaiting();
 }
 
 auto RequestFlows::setLeaving() -> void
--- a/src/entry/requestflows.h
+++ b/src/entry/requestflows.h
@@ -38,7 +38,7 @@
     std::string entry; ///< this entry's id: part of request ids
     std::uint64_t incarnation = 0;
     std::size_t streamBuffer = 256U << 10U; ///< bytes towards a caller before the target is held back
-    std::size_t heldAnswer = 8U << 20U; ///< bytes of an answer that are kept until it is whole; longer ones are streamed
+    std::size_t maxBufferedAnswer = 8U << 20U; ///< bytes of an answer that are kept until it is whole; longer ones are streamed
     int maxQueue = 4096;
     Duration requestBudget = Duration::seconds(30);
     HedgeOptions hedge;
@@ -64,7 +64,7 @@
 
     auto adopt(const Declarations &declarations) -> void;
     auto handle(const std::shared_ptr<HttpExchange> &exchange) -> void; ///< a request under /v1/ or /services/
-    auto pump() -> void; ///< capacity or copies may have appeared
+    auto retryWaiting() -> void; ///< capacity or copies may have appeared
     auto setLeaving() -> void; ///< refuses what is new, as not run
     /// Gives up all that is open; returns how many that was.
     auto abandonAll() -> int;
--- a/src/entry/systemstatus.cpp
+++ b/src/entry/systemstatus.cpp
@@ -42,13 +42,13 @@
 }
 
 /// How long a listed process that was never seen counts as one that will answer.
-constexpr auto ProposedPatience = Duration::seconds(10);
+constexpr auto ProposedTimeout = Duration::seconds(10);
 
 /// A process that is gone doesn't hold up a change: it gets the newest revision when it is back. One that is listed but not seen yet does for a
 /// while: an entry that has just started would otherwise report a change as in force everywhere because it knows nobody.
 auto countsForRevision(const FleetMember &member) -> bool
 {
-    const bool isExpected = member.state == MemberState::Proposed && member.silentFor < ProposedPatience;
+    const bool isExpected = member.state == MemberState::Proposed && member.silentFor < ProposedTimeout;
     return isExpected || member.state == MemberState::Live || member.state == MemberState::Suspect;
 }
 
--- a/tests/unit_claimtask.cpp
+++ b/tests/unit_claimtask.cpp
@@ -10,7 +10,7 @@
 constexpr auto Limit = Duration::seconds(20);
 
 /// A table that commits everything, a moment later.
-auto willingTable(EventLoop &loop, int &version) -> TableAccess
+auto committingTable(EventLoop &loop, int &version) -> TableAccess
 {
     TableAccess table;
     table.transact = [&](const std::string &, const std::vector<TableOp> &, const std::function<void(const TransactResult &)> &done) {
@@ -40,7 +40,7 @@
     // should stop, and the clerk's next try would be told that the debit is running.
     EventLoop loop;
     int version = 0;
-    ClaimTask claims(loop, willingTable(loop, version), settings());
+    ClaimTask claims(loop, committingTable(loop, version), settings());
     auto hooks = claims.hooks();
     bool decided = false;
     const auto send = hooks.begin({ServiceName("minutes"), RequestKey("k")}, loop.now() + Limit, [&](const ClaimVerdict &) { decided = true; });
@@ -53,18 +53,18 @@
 {
     EventLoop loop;
     int version = 0;
-    ClaimTask claims(loop, willingTable(loop, version), settings());
+    ClaimTask claims(loop, committingTable(loop, version), settings());
     auto hooks = claims.hooks();
     std::vector<ClaimVerdict> verdicts;
     const ClaimKey key {ServiceName("minutes"), RequestKey("k")};
-    const auto note = [&](const ClaimVerdict &verdict) {
+    const auto recordVerdict = [&](const ClaimVerdict &verdict) {
         verdicts.push_back(verdict);
     };
-    const auto send = hooks.begin(key, loop.now() + Limit, note);
+    const auto send = hooks.begin(key, loop.now() + Limit, recordVerdict);
     REQUIRE(loop.runUntil([&] { return !verdicts.empty(); }, Limit));
     REQUIRE(std::holds_alternative<ForwardSend>(verdicts.front()));
     hooks.runEnded(send, RunOutcome::Answered, {.status = 201, .headers = {}, .body = "done"});
-    hooks.begin(key, loop.now() + Limit, note);
+    hooks.begin(key, loop.now() + Limit, recordVerdict);
     REQUIRE(loop.runUntil([&] { return verdicts.size() == 2 && claims.openKeys() == 0; }, Limit));
     REQUIRE(std::get<AnswerFromRecord>(verdicts.back()).record.body == "done");
 }
--- a/tests/unit_configtask.cpp
+++ b/tests/unit_configtask.cpp
@@ -117,7 +117,7 @@
     EventLoop &m_loop;
 };
 
-auto setWith(double moveCost) -> Declarations
+auto declarationsWith(double moveCost) -> Declarations
 {
     Declarations set;
     set.services[ServiceName("advisory")] = Service {.name = ServiceName("advisory")};
@@ -125,7 +125,7 @@
     return set;
 }
 
-struct Bench {
+struct ConfigFixture {
     EventLoop loop;
     MemoryTable table {.loop = loop, .rows = {}};
     MemoryObjects objects {loop};
@@ -152,13 +152,13 @@
 
 auto change(const std::string &id, std::uint64_t expected, double moveCost) -> DeclarationsChange
 {
-    return {.id = ChangeId(id), .expected = Revision(expected), .set = setWith(moveCost), .author = "unit"};
+    return {.id = ChangeId(id), .expected = Revision(expected), .set = declarationsWith(moveCost), .author = "unit"};
 }
 
 /// An answer that has not come yet is empty.
 using Answer = std::optional<ChangeAnswer>;
 
-auto into(Answer &answer) -> std::function<void(const ChangeAnswer &)>
+auto storeAnswerIn(Answer &answer) -> std::function<void(const ChangeAnswer &)>
 {
     return [&answer](const ChangeAnswer &given) {
         REQUIRE_FALSE(answer.has_value());
@@ -170,12 +170,12 @@
 
 TEST_CASE("an accepted change comes into force in the entry that was asked and in the others")
 {
-    Bench bench;
-    const auto first = bench.entry("entry-1");
-    const auto second = bench.entry("entry-2");
+    ConfigFixture fixture;
+    const auto first = fixture.entry("entry-1");
+    const auto second = fixture.entry("entry-2");
     Answer answer;
-    second->apply(change("c1", 0, 7), into(answer));
-    bench.waitFor([&] { return answer && first->revision() == Revision(1); });
+    second->apply(change("c1", 0, 7), storeAnswerIn(answer));
+    fixture.waitFor([&] { return answer && first->revision() == Revision(1); });
     REQUIRE(answer->outcome == ChangeOutcome::Accepted);
     REQUIRE(answer->revision == Revision(1));
     REQUIRE(second->revision() == Revision(1));
@@ -187,55 +187,55 @@
 {
     // Two operators apply at the same moment, each through another entry and against the same revision. Were both accepted, the
     // second would silently undo the first.
-    Bench bench;
-    const auto first = bench.entry("entry-1");
-    const auto second = bench.entry("entry-2");
+    ConfigFixture fixture;
+    const auto first = fixture.entry("entry-1");
+    const auto second = fixture.entry("entry-2");
     Answer one;
     Answer other;
-    first->apply(change("c1", 0, 7), into(one));
-    second->apply(change("c2", 0, 8), into(other));
-    bench.waitFor([&] { return one && other; });
+    first->apply(change("c1", 0, 7), storeAnswerIn(one));
+    second->apply(change("c2", 0, 8), storeAnswerIn(other));
+    fixture.waitFor([&] { return one && other; });
     const auto &winner = one->outcome == ChangeOutcome::Accepted ? *one : *other;
     const auto &loser = one->outcome == ChangeOutcome::Accepted ? *other : *one;
     REQUIRE(winner.outcome == ChangeOutcome::Accepted);
     REQUIRE(loser.outcome == ChangeOutcome::Conflict);
     REQUIRE(loser.revision == Revision(1));
-    REQUIRE(bench.table.transactions == 1);
+    REQUIRE(fixture.table.transactions == 1);
 }
 
 TEST_CASE("a commit whose answer is lost is told as accepted, once")
 {
     // The table commits, and its answer is lost on the way. Told "not done", the operator would apply it again as another revision.
-    Bench bench;
-    bench.table.answersToLose = 1;
-    const auto entry = bench.entry("entry-1");
+    ConfigFixture fixture;
+    fixture.table.answersToLose = 1;
+    const auto entry = fixture.entry("entry-1");
     Answer answer;
-    entry->apply(change("c1", 0, 7), into(answer));
-    bench.waitFor([&] { return answer.has_value(); });
+    entry->apply(change("c1", 0, 7), storeAnswerIn(answer));
+    fixture.waitFor([&] { return answer.has_value(); });
     REQUIRE(answer->outcome == ChangeOutcome::Accepted);
     REQUIRE(answer->revision == Revision(1));
-    REQUIRE(bench.table.transactions == 1);
+    REQUIRE(fixture.table.transactions == 1);
 }
 
 TEST_CASE("a change id that was used for another set puts nothing in force")
 {
     // An operator asks again about a change, but has edited the files in between. Taken as accepted, the edited set would be in force
     // in this entry alone, under a revision that every other process knows with other contents.
-    Bench bench;
-    const auto entry = bench.entry("entry-1");
+    ConfigFixture fixture;
+    const auto entry = fixture.entry("entry-1");
     Answer first;
-    entry->apply(change("c1", 0, 7), into(first));
-    bench.waitFor([&] { return first.has_value(); });
-    const auto restarted = bench.entry("entry-2");
+    entry->apply(change("c1", 0, 7), storeAnswerIn(first));
+    fixture.waitFor([&] { return first.has_value(); });
+    const auto restarted = fixture.entry("entry-2");
     Answer again;
-    restarted->apply(change("c1", 0, 9), into(again));
-    bench.waitFor([&] { return again.has_value(); });
+    restarted->apply(change("c1", 0, 9), storeAnswerIn(again));
+    fixture.waitFor([&] { return again.has_value(); });
     REQUIRE(again->outcome == ChangeOutcome::Refused);
     REQUIRE(again->findings.size() == 1);
     REQUIRE(restarted->declarations().policy.moveCost == 7);
     Answer same;
-    restarted->apply(change("c1", 0, 7), into(same));
-    bench.waitFor([&] { return same.has_value(); });
+    restarted->apply(change("c1", 0, 7), storeAnswerIn(same));
+    fixture.waitFor([&] { return same.has_value(); });
     REQUIRE(same->outcome == ChangeOutcome::Accepted);
     REQUIRE(same->revision == Revision(1));
 }
@@ -243,15 +243,15 @@
 TEST_CASE("with the store down a change is certainly not made, and a peer's snapshot comes into force")
 {
     // An entry starts during an outage of the table. Without the snapshot of a peer it would know no service and refuse every caller.
-    Bench bench;
-    bench.table.down = true;
-    const auto entry = bench.entry("entry-1");
+    ConfigFixture fixture;
+    fixture.table.down = true;
+    const auto entry = fixture.entry("entry-1");
     Answer answer;
-    entry->apply(change("c1", 0, 7), into(answer));
-    bench.waitFor([&] { return answer.has_value(); });
+    entry->apply(change("c1", 0, 7), storeAnswerIn(answer));
+    fixture.waitFor([&] { return answer.has_value(); });
     REQUIRE(answer->outcome == ChangeOutcome::Unavailable);
     REQUIRE_FALSE(entry->isStoreReachable());
-    entry->offer(Revision(5), declarationsToJson(setWith(3)));
+    entry->offer(Revision(5), declarationsToJson(declarationsWith(3)));
     REQUIRE(entry->revision() == Revision(5));
     REQUIRE(entry->declarations().policy.moveCost == 3);
 }
@@ -259,76 +259,76 @@
 TEST_CASE("a configuration in force never reverts")
 {
     // A peer that lags, or a snapshot cut short on its way, offers what is older or unreadable.
-    Bench bench;
-    bench.table.down = true;
-    const auto entry = bench.entry("entry-1");
-    entry->offer(Revision(5), declarationsToJson(setWith(3)));
-    entry->offer(Revision(4), declarationsToJson(setWith(2)));
-    entry->offer(Revision(5), declarationsToJson(setWith(1)));
-    entry->offer(Revision(6), declarationsToJson(setWith(0)).substr(0, 20));
+    ConfigFixture fixture;
+    fixture.table.down = true;
+    const auto entry = fixture.entry("entry-1");
+    entry->offer(Revision(5), declarationsToJson(declarationsWith(3)));
+    entry->offer(Revision(4), declarationsToJson(declarationsWith(2)));
+    entry->offer(Revision(5), declarationsToJson(declarationsWith(1)));
+    entry->offer(Revision(6), declarationsToJson(declarationsWith(0)).substr(0, 20));
     REQUIRE(entry->revision() == Revision(5));
     REQUIRE(entry->declarations().policy.moveCost == 3);
-    REQUIRE(bench.adopted == std::vector {Revision(5)});
+    REQUIRE(fixture.adopted == std::vector {Revision(5)});
 }
 
 TEST_CASE("a set with findings is refused before the store is asked")
 {
-    Bench bench;
-    const auto entry = bench.entry("entry-1");
+    ConfigFixture fixture;
+    const auto entry = fixture.entry("entry-1");
     auto faulty = change("c1", 0, -1);
     Answer answer;
-    entry->apply(faulty, into(answer));
+    entry->apply(faulty, storeAnswerIn(answer));
     REQUIRE(answer.has_value());
     REQUIRE(answer->outcome == ChangeOutcome::Refused);
     REQUIRE(answer->findings.size() == 1);
-    REQUIRE(bench.table.transactions == 0);
+    REQUIRE(fixture.table.transactions == 0);
 }
 
 TEST_CASE("a large set goes to the object store and comes into force everywhere from there")
 {
-    Bench bench;
-    bench.inlineLimit = 10;
-    const auto first = bench.entry("entry-1");
-    const auto second = bench.entry("entry-2");
+    ConfigFixture fixture;
+    fixture.inlineLimit = 10;
+    const auto first = fixture.entry("entry-1");
+    const auto second = fixture.entry("entry-2");
     Answer answer;
-    second->apply(change("c1", 0, 7), into(answer));
-    bench.waitFor([&] { return answer && first->revision() == Revision(1); });
+    second->apply(change("c1", 0, 7), storeAnswerIn(answer));
+    fixture.waitFor([&] { return answer && first->revision() == Revision(1); });
     REQUIRE(answer->outcome == ChangeOutcome::Accepted);
-    REQUIRE(first->text() == declarationsToJson(setWith(7)));
-    REQUIRE(bench.objects.objects.size() == 1);
-    REQUIRE(bench.table.rows.at(configLogKey(Revision(1))).value.find("moveCost") == std::string::npos);
+    REQUIRE(first->text() == declarationsToJson(declarationsWith(7)));
+    REQUIRE(fixture.objects.objects.size() == 1);
+    REQUIRE(fixture.table.rows.at(configLogKey(Revision(1))).value.find("moveCost") == std::string::npos);
 }
 
 TEST_CASE("a large set that the object store can't keep is certainly not in force")
 {
-    Bench bench;
-    bench.inlineLimit = 10;
-    bench.objects.down = true;
-    const auto entry = bench.entry("entry-1");
+    ConfigFixture fixture;
+    fixture.inlineLimit = 10;
+    fixture.objects.down = true;
+    const auto entry = fixture.entry("entry-1");
     Answer answer;
-    entry->apply(change("c1", 0, 7), into(answer));
-    bench.waitFor([&] { return answer.has_value(); });
+    entry->apply(change("c1", 0, 7), storeAnswerIn(answer));
+    fixture.waitFor([&] { return answer.has_value(); });
     REQUIRE(answer->outcome == ChangeOutcome::Unavailable);
-    REQUIRE(bench.table.transactions == 0);
+    REQUIRE(fixture.table.transactions == 0);
 }
 
 TEST_CASE("an object that is not what its row refers to is never put in force")
 {
     // An object arrives cut short, or someone overwrote it. It may still read as a set, only with models missing: in force, those would
     // be unloaded everywhere. The entry waits for the right one instead.
-    Bench bench;
-    bench.inlineLimit = 10;
-    const auto first = bench.entry("entry-1");
+    ConfigFixture fixture;
+    fixture.inlineLimit = 10;
+    const auto first = fixture.entry("entry-1");
     Answer answer;
-    first->apply(change("c1", 0, 7), into(answer));
-    bench.waitFor([&] { return answer.has_value(); });
-    auto &object = bench.objects.objects.begin()->second;
+    first->apply(change("c1", 0, 7), storeAnswerIn(answer));
+    fixture.waitFor([&] { return answer.has_value(); });
+    auto &object = fixture.objects.objects.begin()->second;
     const auto right = object;
-    object = declarationsToJson(setWith(9));
-    const auto second = bench.entry("entry-2");
-    bench.loop.runUntil([&] { return second->revision() > Revision(); }, Duration::millis(100));
+    object = declarationsToJson(declarationsWith(9));
+    const auto second = fixture.entry("entry-2");
+    fixture.loop.runUntil([&] { return second->revision() > Revision(); }, Duration::millis(100));
     REQUIRE(second->revision() == Revision());
     object = right;
-    bench.waitFor([&] { return second->revision() == Revision(1); });
+    fixture.waitFor([&] { return second->revision() == Revision(1); });
     REQUIRE(second->declarations().policy.moveCost == 7);
 }
--- a/tests/unit_requestflows.cpp
+++ b/tests/unit_requestflows.cpp
@@ -12,7 +12,7 @@
 constexpr auto Limit = Duration::seconds(20);
 
 /// Flows before played agents, behind a real HTTP server.
-struct Stage {
+struct FlowsFixture {
     EventLoop loop;
     Router router {RoutingOptions {}};
     DemandForecast demand;
@@ -25,7 +25,7 @@
     HttpClient client {loop};
     std::uint64_t reports = 0;
 
-    Stage()
+    FlowsFixture()
         : flows(FlowParts {loop, router, demand, suspects, metrics, decisions}, FlowSettings {.entry = "entry-1", .incarnation = 1}, hooks())
         , server(loop, HttpServerOptions {.keptHeaders = callerHeaderNames()}, [this](const auto &exchange) { flows.handle(exchange); })
     {
@@ -66,7 +66,7 @@
         router.reportReceived(TargetId(target), load, loop.now());
     }
 
-    auto ask(const std::string &body, const std::string &budgetMs) -> std::shared_ptr<HttpAnswer>
+    auto sendRequest(const std::string &body, const std::string &budgetMs) -> std::shared_ptr<HttpAnswer>
     {
         auto answer = std::make_shared<HttpAnswer>();
         HttpCall call {.server = {"127.0.0.1", server.port()}, .method = "POST", .path = "/v1/completions"};
@@ -96,40 +96,40 @@
 {
     // A request waits, for its only target is full. Then the target has room, but has become so slow that the request can't be in time there.
     // The entry refused it while still holding a reference into its list of requests, and died; every caller found it unreachable.
-    Stage stage;
-    stage.report("runner-1", 64, Duration::millis(100));
-    const auto answer = stage.ask(Plain, "5000");
-    REQUIRE(stage.await([&] { return stage.flows.waiting() == 1; }));
-    stage.report("runner-1", 0, Duration::seconds(1000));
-    stage.flows.pump();
-    REQUIRE(stage.await([&] { return answer->status != 0; }));
+    FlowsFixture fixture;
+    fixture.report("runner-1", 64, Duration::millis(100));
+    const auto answer = fixture.sendRequest(Plain, "5000");
+    REQUIRE(fixture.await([&] { return fixture.flows.waiting() == 1; }));
+    fixture.report("runner-1", 0, Duration::seconds(1000));
+    fixture.flows.retryWaiting();
+    REQUIRE(fixture.await([&] { return answer->status != 0; }));
     REQUIRE(answer->status == 503);
     REQUIRE(headerValue(answer->headers, "kingcup-outcome") == "not-run");
-    REQUIRE(stage.flows.open() == 0);
+    REQUIRE(fixture.flows.open() == 0);
 }
 
 TEST_CASE("the late answer of an attempt that was given up reaches nobody")
 {
     // The time budget runs out while a target still works. Its answer comes afterwards, when the caller's next request is already under way: were it
     // taken for that one's, a clerk would read another patron's balance.
-    Stage stage;
-    stage.report("runner-1", 0, Duration::millis(10));
-    const auto first = stage.ask(Plain, "200");
-    REQUIRE(stage.await([&] { return first->status != 0; }));
+    FlowsFixture fixture;
+    fixture.report("runner-1", 0, Duration::millis(10));
+    const auto first = fixture.sendRequest(Plain, "200");
+    REQUIRE(fixture.await([&] { return first->status != 0; }));
     REQUIRE(first->status == 504);
     REQUIRE(headerValue(first->headers, "kingcup-outcome") == "unknown");
-    const auto late = stage.streamOf("runner-1");
-    stage.report("runner-1", 0, Duration::millis(10));
-    const auto second = stage.ask(Plain, "10000");
-    REQUIRE(stage.await([&] { return stage.streams[TargetId("runner-1")].size() == 2; }));
+    const auto late = fixture.streamOf("runner-1");
+    fixture.report("runner-1", 0, Duration::millis(10));
+    const auto second = fixture.sendRequest(Plain, "10000");
+    REQUIRE(fixture.await([&] { return fixture.streams[TargetId("runner-1")].size() == 2; }));
     late->answerHead("application/json");
     late->answerData("the first one's");
     late->answerEnd(Wire::OUTCOME_DELIVERED, "");
-    const auto own = stage.streamOf("runner-1");
+    const auto own = fixture.streamOf("runner-1");
     own->answerHead("application/json");
     own->answerData("its own");
     own->answerEnd(Wire::OUTCOME_DELIVERED, "");
-    REQUIRE(stage.await([&] { return second->status != 0; }));
+    REQUIRE(fixture.await([&] { return second->status != 0; }));
     REQUIRE(second->body == "its own");
 }
 
@@ -137,23 +137,23 @@
 {
     // An agent's host dies while it passes on a stream, with half an event on the way. The other target goes on at the number of whole events. Were the
     // half passed on as well, the caller would read that token one and a half times.
-    Stage stage;
-    stage.report("runner-1", 0, Duration::millis(10));
-    const auto answer = stage.ask(Streamed, "10000");
-    REQUIRE(stage.await([&] { return stage.streamOf("runner-1") != nullptr; }));
-    const auto broken = stage.streamOf("runner-1");
+    FlowsFixture fixture;
+    fixture.report("runner-1", 0, Duration::millis(10));
+    const auto answer = fixture.sendRequest(Streamed, "10000");
+    REQUIRE(fixture.await([&] { return fixture.streamOf("runner-1") != nullptr; }));
+    const auto broken = fixture.streamOf("runner-1");
     broken->answerHead("text/event-stream");
     broken->answerData("data: one\n\ndata: tw");
-    stage.report("runner-2", 0, Duration::millis(10));
+    fixture.report("runner-2", 0, Duration::millis(10));
     const auto hook = broken->onEnd;
     hook(StreamEnd::Broken);
-    REQUIRE(stage.await([&] { return stage.streamOf("runner-2") != nullptr; }));
-    const auto resumed = stage.streamOf("runner-2");
+    REQUIRE(fixture.await([&] { return fixture.streamOf("runner-2") != nullptr; }));
+    const auto resumed = fixture.streamOf("runner-2");
     REQUIRE(resumed->sent.front().open().resume_offset() == 1);
     resumed->answerHead("text/event-stream");
     resumed->answerData("data: two\n\ndata: [DONE]\n\n");
     resumed->answerEnd(Wire::OUTCOME_DELIVERED, "");
-    REQUIRE(stage.await([&] { return answer->status != 0; }));
+    REQUIRE(fixture.await([&] { return answer->status != 0; }));
     REQUIRE(answer->body == "data: one\n\ndata: two\n\ndata: [DONE]\n\n");
 }
 
@@ -161,15 +161,15 @@
 {
     // An engine closes its stream in order but early, and its agent takes that for the end. Told "delivered", an inspector would read half a review as if it
     // were all of it. There is no second target, so the caller gets an error event.
-    Stage stage;
-    stage.report("runner-1", 0, Duration::millis(10));
-    const auto answer = stage.ask(Streamed, "10000");
-    REQUIRE(stage.await([&] { return stage.streamOf("runner-1") != nullptr; }));
-    const auto cut = stage.streamOf("runner-1");
+    FlowsFixture fixture;
+    fixture.report("runner-1", 0, Duration::millis(10));
+    const auto answer = fixture.sendRequest(Streamed, "10000");
+    REQUIRE(fixture.await([&] { return fixture.streamOf("runner-1") != nullptr; }));
+    const auto cut = fixture.streamOf("runner-1");
     cut->answerHead("text/event-stream");
     cut->answerData("data: one\n\n");
     cut->answerEnd(Wire::OUTCOME_DELIVERED, "");
-    REQUIRE(stage.await([&] { return answer->status != 0; }));
+    REQUIRE(fixture.await([&] { return answer->status != 0; }));
     REQUIRE(answer->body.starts_with("data: one\n\nevent: error\n"));
     REQUIRE(answer->body.find("\"outcome\":\"unknown\"") != std::string::npos);
 }
@@ -177,22 +177,22 @@
 TEST_CASE("a call that must not repeat is not sent again once it may have run")
 {
     // A target dies after it took a debit without a key. Sent elsewhere, the debit would be made twice.
-    Stage stage;
+    FlowsFixture fixture;
     Declarations set;
     set.services[ServiceName("ledger")] = Service {.name = ServiceName("ledger"), .kind = ServiceKind::Plain, .nonIdempotentCalls = {{"POST", "/debits"}}};
-    stage.flows.adopt(set);
+    fixture.flows.adopt(set);
     for (const auto *name : {"ledger-1", "ledger-2"}) {
-        stage.router.targetUp(TargetId(name), ZoneName("round-rock"), ServiceName("ledger"), stage.loop.now());
-        stage.router.reportReceived(TargetId(name), TargetLoad {.sequence = 1, .concurrencyLimit = 16}, stage.loop.now());
+        fixture.router.targetUp(TargetId(name), ZoneName("round-rock"), ServiceName("ledger"), fixture.loop.now());
+        fixture.router.reportReceived(TargetId(name), TargetLoad {.sequence = 1, .concurrencyLimit = 16}, fixture.loop.now());
     }
     HttpAnswer answer;
-    HttpCall call {.server = {"127.0.0.1", stage.server.port()}, .method = "POST", .path = "/services/ledger/debits", .body = "{}"};
+    HttpCall call {.server = {"127.0.0.1", fixture.server.port()}, .method = "POST", .path = "/services/ledger/debits", .body = "{}"};
     call.keptHeaders = {"kingcup-outcome"};
-    startShortCall(stage.client, std::move(call), [&](const HttpAnswer &got) { answer = got; });
-    REQUIRE(stage.await([&] { return stage.streams.size() == 1; }));
-    const auto hook = stage.streams.begin()->second.front()->onEnd;
+    startShortCall(fixture.client, std::move(call), [&](const HttpAnswer &got) { answer = got; });
+    REQUIRE(fixture.await([&] { return fixture.streams.size() == 1; }));
+    const auto hook = fixture.streams.begin()->second.front()->onEnd;
     hook(StreamEnd::Broken);
-    REQUIRE(stage.await([&] { return answer.status != 0; }));
+    REQUIRE(fixture.await([&] { return answer.status != 0; }));
     REQUIRE(headerValue(answer.headers, "kingcup-outcome") == "unknown");
-    REQUIRE(stage.streams.size() == 1);
+    REQUIRE(fixture.streams.size() == 1);
 }
--- a/tests/unit_requesttasks.cpp
+++ b/tests/unit_requesttasks.cpp
@@ -12,7 +12,7 @@
 constexpr auto Limit = Duration::seconds(20);
 
 /// An agent's tasks before a target that holds every call until the test lets it go.
-struct Slot {
+struct TasksFixture {
     EventLoop loop;
     std::vector<std::shared_ptr<HttpExchange>> calls;
     HttpServer target {loop, HttpServerOptions {}, [this](const auto &exchange) {
@@ -83,64 +83,64 @@
 {
     // An entry hasn't heard yet that a target is leaving and sends it one more request. Were it taken, the stop would wait for it or cut it off; refused as
     // not run, it goes to another target and its caller notices nothing.
-    Slot slot;
-    const auto running = slot.send("before");
-    REQUIRE(slot.await([&] { return slot.calls.size() == 1; }));
-    slot.tasks.setLeaving(true);
-    const auto late = slot.send("after");
+    TasksFixture fixture;
+    const auto running = fixture.send("before");
+    REQUIRE(fixture.await([&] { return fixture.calls.size() == 1; }));
+    fixture.tasks.setLeaving(true);
+    const auto late = fixture.send("after");
     REQUIRE(endOf(*late).outcome() == Wire::OUTCOME_NOT_RUN);
     REQUIRE(endOf(*late).code() == "leaving");
-    slot.calls.front()->respond(200, {}, "whole");
-    REQUIRE(slot.await([&] { return endOf(*running).outcome() == Wire::OUTCOME_DELIVERED; }));
-    REQUIRE(slot.calls.size() == 1);
+    fixture.calls.front()->respond(200, {}, "whole");
+    REQUIRE(fixture.await([&] { return endOf(*running).outcome() == Wire::OUTCOME_DELIVERED; }));
+    REQUIRE(fixture.calls.size() == 1);
 }
 
 TEST_CASE("a request for what isn't resident, or is quarantined, or can't be claimed, is refused before it runs")
 {
     // An entry's picture is old: the copy has gone, another process has seen the request crash its target, the store is away. The agent's own state decides.
-    Slot slot;
-    slot.isResident = false;
-    REQUIRE(endOf(*slot.send("gone")).code() == "not-resident");
-    slot.isResident = true;
-    slot.isQuarantined = true;
-    REQUIRE(endOf(*slot.send("dangerous")).code() == "quarantined");
-    slot.isQuarantined = false;
-    const auto unclaimed = slot.send("once", false, true);
+    TasksFixture fixture;
+    fixture.isResident = false;
+    REQUIRE(endOf(*fixture.send("gone")).code() == "not-resident");
+    fixture.isResident = true;
+    fixture.isQuarantined = true;
+    REQUIRE(endOf(*fixture.send("dangerous")).code() == "quarantined");
+    fixture.isQuarantined = false;
+    const auto unclaimed = fixture.send("once", false, true);
     REQUIRE(endOf(*unclaimed).code() == "store-unavailable");
     REQUIRE(endOf(*unclaimed).outcome() == Wire::OUTCOME_NOT_RUN);
-    slot.loop.runUntil([] { return false; }, Duration::millis(50));
-    REQUIRE(slot.calls.empty());
+    fixture.loop.runUntil([] { return false; }, Duration::millis(50));
+    REQUIRE(fixture.calls.empty());
 }
 
 TEST_CASE("a suspect runs with nothing beside it")
 {
     // A request was in flight when an engine crashed. Beside others it would take them along if it is the cause, and they would all be suspects.
-    Slot slot;
-    const auto first = slot.send("usual");
-    REQUIRE(slot.await([&] { return slot.calls.size() == 1; }));
-    const auto suspect = slot.send("suspect", true);
-    const auto next = slot.send("next");
-    slot.loop.runUntil([] { return false; }, Duration::millis(50));
-    REQUIRE(slot.tasks.running() == 1);
-    slot.calls[0]->respond(200, {}, "");
-    REQUIRE(slot.await([&] { return slot.calls.size() == 2; }));
-    slot.loop.runUntil([] { return false; }, Duration::millis(50));
-    REQUIRE(slot.tasks.running() == 1);
-    slot.calls[1]->respond(200, {}, "");
-    REQUIRE(slot.await([&] { return endOf(*suspect).outcome() == Wire::OUTCOME_DELIVERED && slot.calls.size() == 3; }));
-    slot.calls[2]->respond(200, {}, "");
-    REQUIRE(slot.await([&] { return endOf(*next).outcome() == Wire::OUTCOME_DELIVERED; }));
+    TasksFixture fixture;
+    const auto first = fixture.send("usual");
+    REQUIRE(fixture.await([&] { return fixture.calls.size() == 1; }));
+    const auto suspect = fixture.send("suspect", true);
+    const auto next = fixture.send("next");
+    fixture.loop.runUntil([] { return false; }, Duration::millis(50));
+    REQUIRE(fixture.tasks.running() == 1);
+    fixture.calls[0]->respond(200, {}, "");
+    REQUIRE(fixture.await([&] { return fixture.calls.size() == 2; }));
+    fixture.loop.runUntil([] { return false; }, Duration::millis(50));
+    REQUIRE(fixture.tasks.running() == 1);
+    fixture.calls[1]->respond(200, {}, "");
+    REQUIRE(fixture.await([&] { return endOf(*suspect).outcome() == Wire::OUTCOME_DELIVERED && fixture.calls.size() == 3; }));
+    fixture.calls[2]->respond(200, {}, "");
+    REQUIRE(fixture.await([&] { return endOf(*next).outcome() == Wire::OUTCOME_DELIVERED; }));
 }
 
 TEST_CASE("an answer that breaks off is unknown, never delivered")
 {
     // A target dies in the middle of its answer. The part must not be passed off as the whole, and nobody may be told that it wasn't run.
-    Slot slot;
-    const auto stream = slot.send("cut");
-    REQUIRE(slot.await([&] { return slot.calls.size() == 1; }));
-    slot.calls.front()->begin(200, {});
-    slot.calls.front()->write("half");
-    REQUIRE(slot.await([&] { return stream->answers.size() >= 2; }));
-    slot.calls.front()->abort();
-    REQUIRE(slot.await([&] { return endOf(*stream).outcome() == Wire::OUTCOME_UNKNOWN; }));
+    TasksFixture fixture;
+    const auto stream = fixture.send("cut");
+    REQUIRE(fixture.await([&] { return fixture.calls.size() == 1; }));
+    fixture.calls.front()->begin(200, {});
+    fixture.calls.front()->write("half");
+    REQUIRE(fixture.await([&] { return stream->answers.size() >= 2; }));
+    fixture.calls.front()->abort();
+    REQUIRE(fixture.await([&] { return endOf(*stream).outcome() == Wire::OUTCOME_UNKNOWN; }));
 }
