--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -1,7 +1,7 @@
 // Index of sections (search for [SECTION]):
-//   Parts      the tasks and what they tell each other
-//   Control    what entries ask for
-//   Report     what entries receive
+//   Parts      the tasks and how they are connected
+//   Control    messages from entries
+//   Report     hello and load reports to entries
 //   Leaving    planned stops
 //   Pages      metrics and health
 #include "agent/agent.h"
@@ -30,7 +30,7 @@
 namespace
 {
 
-constexpr auto FlushTime = Duration::millis(200); // for last answers to leave the process
+constexpr auto FlushTime = Duration::millis(200); // before the loop stops, so that the last answers are still sent
 constexpr auto LeaveCheckPeriod = Duration::millis(50);
 constexpr auto FloorReadPeriod = Duration::seconds(2); // between tries to read the floor's row, until one succeeds
 constexpr auto SuspectCheckPeriod = Duration::seconds(5);
@@ -60,7 +60,7 @@
     std::unique_ptr<PeerServer> peers;
     std::unique_ptr<HttpServer> pages;
     Timer loadPoll;
-    Timer floorRead; ///< until the row was read once
+    Timer floorRead; ///< active until the floor's row has been read once
     Timer suspectCheck;
     Timer leaveCheck;
     TimePoint leavingSince;
@@ -203,7 +203,7 @@
     return hooks;
 }
 
-/// Whatever ran when the engine went is suspected of it.
+/// All requests that were in flight when the engine crashed become suspects.
 auto Agent::Private::onCrash(std::uint64_t generation) -> void
 {
     ++crashes;
@@ -246,7 +246,7 @@
     return hooks;
 }
 
-/// Only higher revisions are adopted, so that a lagging entry can't take an accepted change back.
+/// Only higher revisions are adopted, so that a lagging entry can't revert an accepted change.
 auto Agent::Private::onConfig(const Wire::ConfigSnapshot &config) -> void
 {
     if (Revision(config.revision()) <= revision) {
@@ -279,7 +279,7 @@
     residency->floorRowRead(RowSource::Peer, RowVersion(plan.row_version()), floorRowOf(decoded.value()));
 }
 
-/// Once, after the start: see FloorPins::isSettled(). From then on entries pass newer rows on.
+/// Reads the floor's row from the table until one read has succeeded, see FloorPins::isSettled(). After that, entries send newer rows.
 auto Agent::Private::readFloor() -> void
 {
     if (residency->isSettled()) {
@@ -352,7 +352,8 @@
         auto *added = report.add_residents();
         added->set_artifact(resident.artifact.text());
         added->set_bytes(resident.bytes.count());
-        // While an earlier agent's unload may still arrive no copy is vouched for: a planner would drop the last other one on it.
+        // Until the ledger is open, an unload ordered by an earlier agent may still take effect. No copy is reported as pinned until then:
+        // a planner that relied on one might drop the last other copy.
         added->set_pinned(ledger->isOpen() && residency->isPinned(resident.artifact));
         added->set_loading(!residency->isUsable(resident.artifact));
     }
@@ -390,7 +391,7 @@
 auto Agent::Private::pollLoad() -> void
 {
     if (requests->running() == 0) {
-        engineLoad.reset(); // an idle engine's figures tell nothing
+        engineLoad.reset(); // an idle engine's figures are meaningless
         return;
     }
     engine->load([this](const Result<EngineLoad> &load) {
@@ -405,7 +406,7 @@
 
 auto Agent::Private::checkDrained() -> void
 {
-    // Records of runs that have ended are still being written: without them a duplicate would be answered unknown.
+    // Open claim keys count too: records of finished runs may still have to be written. Without its record a duplicate would be answered "unknown".
     const auto open = requests->running() + requests->queued() + static_cast<int>(claims->openKeys());
     const bool isLate = loop.now() - leavingSince > settings.timing.drainLimit;
     if (open > 0 && !isLate) {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -1,4 +1,4 @@
-// The agent: the process in a target's slot. It alone gives the target orders and work.
+// The agent: the process that serves one target, an engine or a plain service. Only the agent sends requests and orders to its target.
 //
 // Index of sections (search for [SECTION]):
 //   Agent   start, leave
@@ -17,14 +17,14 @@
 class Agent
 {
 public:
-    /// Listens at once; throws std::runtime_error if a port is taken. The peers' port is the lock of the slot: two agents can't act
-    /// on one target.
+    /// Listens at once; throws std::runtime_error if a port is taken. The peers' port also serves as a lock: a second agent for the same
+    /// target can't bind it and doesn't start.
     Agent(EventLoop &loop, DaemonSettings settings);
     ~Agent();
 
-    /// A planned stop: takes nothing new, lets what runs finish, then stops the loop.
+    /// Starts a planned stop: refuses new requests, lets open ones finish, cuts off those still open after the drain limit, then stops the loop.
     auto leave() -> void;
-    /// 0 if nothing was cut off.
+    /// 0 unless requests were still open at the drain limit.
     auto exitCode() const -> int;
 
     struct Private;
--- a/src/agent/claimtask.cpp
+++ b/src/agent/claimtask.cpp
@@ -1,6 +1,6 @@
 // Index of sections (search for [SECTION]):
-//   Actions    what the decisions ask for
-//   Clean-up   rows that were kept long enough
+//   Actions    carry out what RunOnce decides
+//   Clean-up   delete rows whose retention has ended
 #include "agent/claimtask.h"
 
 #include <glog/logging.h>
@@ -35,7 +35,7 @@
     std::uint64_t writes = 0;
     Timer wake;
     Timer cleanup;
-    std::string cleanupAfter; // the last key looked at
+    std::string cleanupAfter; // last key of the previous scan; empty: the next one starts from the beginning
 
     Private(EventLoop &ownerLoop, TableAccess access, ClaimSettings claimSettings)
         : loop(ownerLoop)
@@ -66,7 +66,7 @@
     send.deadline = deadline;
     send.keepUntilMs = settings.wallMillis() + settings.retention(key.service).inMillis();
     waiting.emplace(send.send.value(), std::move(done));
-    // A verdict may come at once; the caller must have its send's id first.
+    // Posted, since RunOnce may decide at once and the id must be returned before `done` is called.
     loop.post([this, send] { perform(runOnce.submit(send, loop.now())); });
     return send.send;
 }
@@ -82,7 +82,8 @@
     done(verdict);
 }
 
-/// A caller may leave before its send has arrived in RunOnce; its claim, once won, would stay open for ever with nobody to run it.
+/// A caller may leave before its send has reached RunOnce. Its claim, if won, is ended here as not run; otherwise the key would stay open
+/// forever, since nobody would run the request.
 auto ClaimTask::Private::forward(const ForwardSend &send) -> void
 {
     if (waiting.contains(send.send.value())) {
@@ -138,7 +139,7 @@
 
 // [SECTION] Clean-up
 
-/// One page a period: spread over the agents, this keeps up with many claims and costs next to nothing.
+/// Scans one page per period. Since every agent does this, deletion keeps up with many claims at little cost.
 auto ClaimTask::Private::cleanUp() -> void
 {
     table.scan(ClaimRowPrefix, cleanupAfter, CleanupPage, [this](const std::optional<std::vector<TableRow>> &rows) {
--- a/src/agent/claimtask.h
+++ b/src/agent/claimtask.h
@@ -1,7 +1,7 @@
-// The claims of an agent's requests that must run once: core/runonce.h driven over the table.
+// Claims for an agent's requests that must run at most once: drives the state machine of core/runonce.h over the platform's table.
 //
 // Index of sections (search for [SECTION]):
-//   Settings   of claims
+//   Settings   ClaimSettings
 //   Task       ClaimTask
 #pragma once
 
@@ -24,7 +24,7 @@
     RunOnceSettings runOnce;
     std::function<Duration(const ServiceName &service)> retention; ///< how long a claim's row is kept, as declared
     std::function<std::int64_t()> wallMillis; ///< since 1970
-    Duration cleanupPeriod = Duration::seconds(60); ///< between two looks for rows that were kept long enough
+    Duration cleanupPeriod = Duration::seconds(60); ///< between two scans for rows whose retention has ended
 };
 
 // [SECTION] Task
@@ -35,9 +35,9 @@
     ClaimTask(EventLoop &loop, TableAccess table, ClaimSettings settings);
     ~ClaimTask();
 
-    auto hooks() -> ClaimHooks; ///< for RequestTasks; valid while the task lives
-    auto openKeys() const -> std::size_t;
-    auto pendingWrites() const -> std::size_t;
+    auto hooks() -> ClaimHooks; ///< for RequestTasks; valid as long as this object
+    auto openKeys() const -> std::size_t; ///< keys whose claim, run or release hasn't ended
+    auto pendingWrites() const -> std::size_t; ///< writes that are not in a transaction yet
 
     struct Private;
 
--- a/src/agent/controlsessions.cpp
+++ b/src/agent/controlsessions.cpp
@@ -9,11 +9,12 @@
 namespace
 {
 
-/// Changes within this time go out together.
+/// Delay of a scheduled report. Changes within this time are sent in one report.
 constexpr auto ReportDelay = Duration::millis(10);
-/// Differs from every serialised list, the empty one too: a stream's first report names the residents.
+/// Stands for "no residents reported on this stream yet". It differs from every serialised list, also from the empty one, so that a
+/// stream's first report always contains the residents.
 constexpr auto NothingReported = "none";
-/// An entry that takes no reports isn't sent more: they would pile up.
+/// No more is sent to an entry while this much is unsent: frames would pile up for an entry that doesn't read.
 constexpr std::size_t MaxPendingBytes = 1U << 20U;
 
 } // namespace
@@ -21,7 +22,7 @@
 struct ControlSessions::Private {
     EventLoop &loop;
     ControlHooks hooks;
-    std::map<PeerStreamPtr, std::string> streams; // with the residents last reported there, serialised
+    std::map<PeerStreamPtr, std::string> streams; // each with the residents last reported on it, serialised
     Timer period;
     Timer soon;
     std::uint64_t sequence = 0;
@@ -63,13 +64,13 @@
         hooks.onDrain(frame.drain().reason());
         break;
     default:
-        break; // of a newer version: not for us
+        break; // a kind that isn't meant for agents, or one of a newer version
     }
 }
 
 auto ControlSessions::Private::sendAll(const Wire::ControlFrame &frame) -> void
 {
-    const auto targets = streams; // a failed send may remove one
+    const auto targets = streams; // a copy, since a failed send may remove a stream
     for (const auto &[stream, residents] : targets) {
         if (stream->pendingBytes() < MaxPendingBytes) {
             stream->send(frame);
@@ -87,7 +88,8 @@
     }
 }
 
-/// Residents rarely change and make up most of a report: they are left out where the stream, which loses nothing, has carried them.
+/// Residents make up most of a report and rarely change. They are left out if the same list was last sent on this stream: a stream loses
+/// nothing, so the entry has it.
 auto ControlSessions::Private::sendReport(const PeerStreamPtr &stream, const Wire::LoadReport &report) -> void
 {
     const auto found = streams.find(stream);
@@ -132,7 +134,7 @@
 auto ControlSessions::accept(const PeerStreamPtr &stream) -> void
 {
     d->streams.emplace(stream, NothingReported);
-    // The stream must not be held by its own hooks.
+    // A weak pointer, since a stream that its own hooks own would never be freed.
     readControl(stream, "entry", [this, weak = std::weak_ptr(stream)](const Wire::ControlFrame &frame) {
         if (const auto self = weak.lock()) {
             d->onFrame(self, frame);
--- a/src/agent/controlsessions.h
+++ b/src/agent/controlsessions.h
@@ -1,7 +1,7 @@
-// The agent's end of the control streams: one for each entry that is connected.
+// The agent's end of the control streams: one for each connected entry.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks      what entries ask for
+//   Hooks      data that entries receive, handlers of their messages
 //   Sessions   ControlSessions
 #pragma once
 
@@ -20,13 +20,13 @@
 
 struct ControlHooks {
     std::function<Wire::Hello()> hello; ///< of this agent
-    std::function<Wire::LoadReport()> report; ///< as it is now
-    std::function<Wire::Suspects()> suspects; ///< known here
+    std::function<Wire::LoadReport()> report; ///< the current load
+    std::function<Wire::Suspects()> suspects; ///< known to this agent
     std::function<void(const Wire::ConfigSnapshot &config)> onConfig;
     std::function<void(const Wire::FloorPlan &plan)> onPlan;
     std::function<void(const Wire::SurgeRequest &request)> onSurge;
     std::function<void(const Wire::Suspects &suspects)> onSuspects;
-    std::function<void(const std::string &reason)> onDrain; ///< an empty reason undoes it
+    std::function<void(const std::string &reason)> onDrain; ///< an empty reason ends the drain
 };
 
 // [SECTION] Sessions
@@ -41,8 +41,8 @@
     auto count() const -> std::size_t;
 
     auto accept(const PeerStreamPtr &stream) -> void;
-    auto scheduleReport() -> void; ///< something changed; changes close together go in one report
-    auto sendSuspects() -> void;
+    auto scheduleReport() -> void; ///< reports a change to all entries after a short delay; changes close together share a report
+    auto sendSuspects() -> void; ///< to all entries
 
     struct Private;
 
--- a/src/agent/requesttasks.cpp
+++ b/src/agent/requesttasks.cpp
@@ -19,9 +19,9 @@
 namespace
 {
 
-constexpr std::size_t TailBytes = 64; // of a stream, in which its end mark is looked for
+constexpr std::size_t TailBytes = 64; // at the end of a stream, searched for the end mark
 constexpr auto EndMark = "data: [DONE]";
-constexpr double MeanSampleWeight = 0.1;
+constexpr double MeanSampleWeight = 0.1; // of a new sample in the moving average of service times
 
 } // namespace
 
@@ -30,11 +30,11 @@
 namespace
 {
 
-/// Where a request stands.
+/// State of a request.
 enum class TaskState { Opening, Claiming, Queued, Running, CheckingCrash, Ended };
 
 struct RequestTask {
-    PeerStreamPtr stream; // null once the entry has gone, or the task has ended
+    PeerStreamPtr stream; // null after the stream or the task has ended
     Wire::Open open;
     TaskState state = TaskState::Opening;
     TimePoint arrivedAt;
@@ -49,10 +49,10 @@
     int status = 0;
     HttpHeaders headers;
     std::string tail; // the answer's last bytes
-    std::string bufferedBody; // an answer that is kept until it is known what to make of it, or recorded
+    std::string bufferedBody; // the answer so far, if recordsAnswer or withholdsHead
     std::size_t bytes = 0;
-    bool recordsAnswer = false; // run once: for the record
-    bool withholdsHead = false; // an error of the engine that may mean "not run"
+    bool recordsAnswer = false; // run once: the whole answer is kept for the claim's record
+    bool withholdsHead = false; // an error of the engine that may mean "not run": nothing is passed on before the whole answer is known
     bool isStream = false; // server-sent events
 
     auto name() const -> std::string
@@ -106,7 +106,7 @@
     std::multimap<QueueKey, TaskPtr> queue;
     std::map<ArtifactName, int> inUse;
     int running = 0;
-    bool isolated = false; // a suspect runs alone
+    bool isolated = false; // a suspect is running alone
     bool leaving = false;
     double meanServiceMicros = 0;
 
@@ -162,7 +162,7 @@
     }
 }
 
-/// Why the request can't run here; an end without a code if it can.
+/// Why the request can't run here; an end with an empty code if it can.
 auto RequestTasks::Private::reasonToRefuse(const RequestTask &task) const -> Wire::End
 {
     if (task.open.version() != Wire::PROTOCOL_VERSION_CURRENT) {
@@ -230,7 +230,7 @@
         enqueue(task);
         return;
     }
-    task->hasClaim = false; // nothing of it is left to be reported
+    task->hasClaim = false; // the claim has ended; there is no run to report
     if (const auto *fromRecord = std::get_if<AnswerFromRecord>(&verdict)) {
         answerFromRecord(task, fromRecord->record);
     } else if (const auto *notRun = std::get_if<AnswerNotRun>(&verdict)) {
@@ -276,7 +276,7 @@
     }
 }
 
-/// A suspect runs with nothing beside it: if the target crashes, only one request can have been the cause.
+/// A suspect runs alone: if the target crashes, only this request can have been the cause.
 auto RequestTasks::Private::mayStart(const RequestTask &task) const -> bool
 {
     if (isolated) {
@@ -390,7 +390,7 @@
         return;
     }
     sendData(task, data);
-    // A caller that reads slowly holds back the engine's stream; nothing piles up here.
+    // Backpressure: if the caller reads slowly, the engine's stream is paused, so that nothing piles up here.
     if (task->stream && !task->recordsAnswer && !task->isPaused && task->stream->pendingBytes() > settings.streamBuffer) {
         task->isPaused = true;
         task->call->pause();
@@ -430,7 +430,7 @@
     hooks.onChanged();
 }
 
-/// The whole answer is here. An engine that says that it has no such model, or no memory, has not run the request.
+/// Handles a complete answer. An engine that reports a missing model, or that it is overloaded, has not run the request.
 auto RequestTasks::Private::finishRun(const TaskPtr &task) -> void
 {
     if (task->withholdsHead) {
@@ -450,7 +450,8 @@
     end(task, deliveredEnd());
 }
 
-/// The entry has to know whether the engine is gone before it sends the request elsewhere, or the next engine follows.
+/// Handles an answer that broke off. The entry gets the end of the request only when it is known whether the engine crashed. Otherwise it
+/// could send a request that crashes engines to the next one as an ordinary request.
 auto RequestTasks::Private::onCallBroken(const TaskPtr &task) -> void
 {
     reportRunEnd(task, RunOutcome::Unknown);
@@ -517,7 +518,7 @@
     }
 }
 
-/// The caller has left or given up. What must run once and has started goes on, so that its record is true.
+/// The caller has left or given up. A run-once request that has started continues, so that its record states the real outcome.
 auto RequestTasks::Private::cancel(const TaskPtr &task) -> void
 {
     switch (task->state) {
@@ -609,7 +610,7 @@
     auto task = std::make_shared<RequestTask>();
     task->stream = stream;
     d->tasks.insert(task);
-    // The task holds the stream and the stream's hooks hold the task; end() lets go of the stream, which breaks the circle.
+    // The task owns the stream, so the stream's hooks hold only a weak pointer to the task: otherwise neither would be freed.
     stream->onMessage = [this, weak = std::weak_ptr(task)](std::string_view message) {
         if (const auto self = weak.lock(); self && self->stream) {
             d->onMessage(self, message);
--- a/src/agent/requesttasks.h
+++ b/src/agent/requesttasks.h
@@ -1,7 +1,7 @@
-// The requests of one target: checked, claimed if they must run once, queued, forwarded, and their answers passed back.
+// Handles the requests for one target: checks them, claims those that must run once, queues and forwards them, and returns the answers.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks      what the requests need of the agent's other parts
+//   Hooks      functions of the agent's other parts that the requests use
 //   Settings   limits
 //   Tasks      RequestTasks
 #pragma once
@@ -23,10 +23,10 @@
 
 // [SECTION] Hooks
 
-/// What became of a claim: run it, or answer without running.
+/// Result of a claim: forward the request, or answer without running it.
 using ClaimVerdict = std::variant<ForwardSend, AnswerFromRecord, AnswerNotRun, AnswerUnknown>;
 
-/// The claims of requests that must run once. Without these hooks such requests are refused as not run.
+/// Claims for requests that must run once. Without these hooks such requests are refused as not run.
 struct ClaimHooks {
     std::function<SendId(const ClaimKey &key, TimePoint deadline, std::function<void(const ClaimVerdict &verdict)> done)> begin;
     std::function<void(SendId send)> cancel; ///< the caller left before the verdict
@@ -39,8 +39,8 @@
     std::function<void(std::function<void(bool hasCrashed)> done)> checkForCrash; ///< null for plain services
     std::function<void(const RequestId &request)> cancelAtTarget; ///< null for plain services
     std::function<bool(const std::string &fingerprint)> isQuarantined;
-    std::function<void(const std::string &fingerprint)> completedAlone; ///< a suspect ran by itself and did no harm
-    std::function<void()> onChanged; ///< running or queued counts have changed
+    std::function<void(const std::string &fingerprint)> completedAlone; ///< a suspect ran alone and the target didn't crash
+    std::function<void()> onChanged; ///< the number of running or queued requests has changed
     ClaimHooks claims;
 };
 
@@ -49,9 +49,9 @@
 struct RequestSettings {
     Endpoint target; ///< engine or plain service
     bool isRunner = true;
-    std::size_t streamBuffer = 256U << 10U; ///< bytes towards the entry before the target is held back
+    std::size_t streamBuffer = 256U << 10U; ///< unsent bytes towards the entry above which reading from the target pauses
     std::size_t maxQueue = 256; ///< requests waiting here; more are refused as not run
-    Duration runOnceTimeout = Duration::seconds(60); ///< a run that must not repeat is awaited this long, whatever its caller's budget
+    Duration runOnceTimeout = Duration::seconds(60); ///< least timeout of a run-once call, also if its caller's budget is shorter
 };
 
 // [SECTION] Tasks
@@ -63,19 +63,19 @@
     ~RequestTasks();
 
     // Queries
-    auto running() const -> int; ///< forwarded and not ended
-    auto queued() const -> int; ///< waiting here, claims included
+    auto running() const -> int; ///< forwarded, and the call hasn't ended
+    auto queued() const -> int; ///< all others: being claimed, waiting, or waiting for the result of a crash check
     auto concurrencyLimit() const -> int;
     auto meanServiceTime() const -> Duration;
-    auto isInUse(const ArtifactName &artifact) const -> bool;
+    auto isInUse(const ArtifactName &artifact) const -> bool; ///< by a request here that hasn't ended
     auto isLeaving() const -> bool;
     auto fingerprintsInFlight() const -> std::vector<std::string>;
 
     // Commands
     auto accept(const PeerStreamPtr &stream) -> void; ///< a stream with path "/request"
-    auto setLeaving(bool isLeaving) -> void; ///< from now on everything new is refused as not run
-    auto observeStep(Duration decodeStep) -> void; ///< from the engine's load report
-    /// Cuts off what still runs; returns how many requests that was.
+    auto setLeaving(bool isLeaving) -> void; ///< while set, new requests are refused as not run
+    auto observeStep(Duration decodeStep) -> void; ///< time of a decode step, from the engine's load report
+    /// Cancels the open requests, except run-once requests that are running. Returns how many requests were open.
     auto abandonAll() -> int;
 
     struct Private;
--- a/src/agent/residencytask.cpp
+++ b/src/agent/residencytask.cpp
@@ -11,23 +11,23 @@
 namespace
 {
 
-/// Status questions without an answer in a row after which the engine counts as not ready.
+/// Consecutive status requests without an answer after which the engine counts as not ready.
 constexpr int MissedStatusLimit = 2;
-/// A question that broke off tells nothing: a dying engine may still accept a connection. It is asked again after a pause, and an engine
-/// that stays silent this long counts as crashed.
+/// A status request that breaks off proves nothing, since a dying engine may still accept a connection. It is repeated after
+/// StatusRetryDelay. An engine that doesn't answer for SilenceLimit counts as crashed.
 constexpr auto StatusRetryDelay = Duration::millis(30);
 constexpr auto SilenceLimit = Duration::seconds(2);
 
-/// Nothing listens there: the engine is down, not slow.
+/// Nothing listens at the engine's address: it is down, not slow.
 auto isGone(const Result<EngineView> &answer) -> bool
 {
     return !answer && answer.error().code == ErrorCode::Unavailable;
 }
 
-/// Someone who wants to know whether the engine has crashed since.
+/// A pending check of whether the engine has crashed since a call to it broke.
 struct CrashCheck {
     std::uint64_t generation = 0; ///< of the engine when its call broke
-    TimePoint since;
+    TimePoint since; ///< when the call broke
     std::function<void(bool hasCrashed)> done;
 };
 
@@ -44,7 +44,7 @@
     FloorPins pins;
     TimePoint startedAt;
     Timer stepTimer;
-    std::string planner; ///< whose surge copies are followed
+    std::string planner; ///< that sent the surge request in force
     std::uint64_t surgeSequence = 0;
     TimePoint surgeRequestedAt;
     std::vector<ArtifactName> surge;
@@ -55,7 +55,7 @@
     bool isStatusPending = false;
     std::vector<CrashCheck> crashChecks;
     Timer statusRetry;
-    TimePoint loadsDelayedUntil; ///< the weight store asked for patience
+    TimePoint loadsDelayedUntil; ///< the weight store was throttled and named a time to retry
 
     Private(EventLoop &ownerLoop, EngineClient &engineClient, ResidencySettings taskSettings, ResidencyHooks taskHooks)
         : loop(ownerLoop)
@@ -89,7 +89,7 @@
     }
 }
 
-/// Tells once per generation that its engine is gone.
+/// Reports the crash of a generation of the engine, once.
 auto ResidencyTask::Private::reportCrash(std::uint64_t crashedGeneration) -> void
 {
     if (crashedGeneration != 0 && crashedGeneration > lastCrashedGeneration) {
@@ -107,7 +107,7 @@
     generation = reported;
 }
 
-/// A status that was asked for before the call broke says nothing about it; such questions wait for the next.
+/// A status that was requested before a call broke doesn't show whether the engine has survived; such checks wait for the next status.
 auto ResidencyTask::Private::completeCrashChecks(TimePoint askedAt, const Result<EngineView> &answer) -> void
 {
     std::vector<CrashCheck> open;
@@ -133,7 +133,7 @@
 auto ResidencyTask::Private::onStatus(TimePoint askedAt, const Result<EngineView> &answer) -> void
 {
     isStatusPending = false;
-    // First the crash, with all that was in flight; then those who asked, who end their requests.
+    // The crash is reported before the checks complete: completing them ends requests that were in flight when the engine crashed.
     if (isGone(answer)) {
         reportCrash(generation);
     } else if (answer) {
@@ -232,7 +232,7 @@
 {
     std::vector<ArtifactName> names;
     for (const auto &resident : ledger->residents()) {
-        // An old version stays while the floor names it: callers are sent to it until the new one is resident.
+        // An old version stays while the floor names it: requests are routed to it until the new one is resident.
         if (!declarations.artifacts.contains(resident.artifact) && !pins.isPinned(resident.artifact)) {
             names.push_back(resident.artifact);
         }
@@ -280,7 +280,7 @@
         if (reply.retryAfter > Duration()) {
             loadsDelayedUntil = loop.now() + reply.retryAfter;
         }
-        // A refused order is given again at the next regular step, not at once: its reason may last.
+        // A refused order is repeated at the next regular step, not at once, since its cause may persist.
         if (reply.answer == OrderAnswer::Accepted) {
             step();
         }
@@ -343,7 +343,7 @@
     }
     settings.kvReserve = declarations.policy.kvReserve;
     settings.firstFence = d->settings.firstFence;
-    // The engine's kind of fencing is part of the ledger's reasoning: with another kind it starts anew, as after a restart.
+    // The ledger depends on the engine's kind of fencing. If that changes, a new ledger is started, as after a restart of the agent.
     if (!d->ledger || d->fencing != settings.fencing) {
         const bool isFirst = !d->ledger;
         d->fencing = settings.fencing;
--- a/src/agent/residencytask.h
+++ b/src/agent/residencytask.h
@@ -1,8 +1,8 @@
-// Keeps a runner's accelerator memory as the floor plan and the surge copies want it. Owns the memory ledger: the only source of
-// orders to the engine.
+// Loads and unloads artifacts on a runner as the floor plan and the requested surge copies need it. Owns the memory ledger, which is the
+// only source of orders to the engine.
 //
 // Index of sections (search for [SECTION]):
-//   Settings    and hooks
+//   Settings    settings and hooks
 //   Task        ResidencyTask
 #pragma once
 
@@ -24,16 +24,16 @@
 
 struct ResidencySettings {
     TargetId target;
-    Fence firstFence; ///< above that of every earlier agent of this slot
-    std::string orderPrefix; ///< unique per start
-    Duration stepPeriod = Duration::millis(250); ///< between looks at what is due, when nothing happens
-    Duration surgeLifetime = Duration::seconds(15); ///< a planner that is silent for longer requests nothing
+    Fence firstFence; ///< above the fences of all earlier agents of this target
+    std::string orderPrefix; ///< of order ids; unique per start
+    Duration stepPeriod = Duration::millis(250); ///< between regular steps; events cause further ones
+    Duration surgeLifetime = Duration::seconds(15); ///< after which a surge request expires if no planner repeats it
 };
 
 struct ResidencyHooks {
     std::function<bool(const ArtifactName &artifact)> isInUse; ///< requests in flight on this target
-    std::function<void()> onChanged; ///< what is usable has changed
-    std::function<void(std::uint64_t generation)> onCrash; ///< the engine of that generation is gone
+    std::function<void()> onChanged; ///< readiness or the usable artifacts may have changed
+    std::function<void(std::uint64_t generation)> onCrash; ///< the engine of that generation has crashed
 };
 
 // [SECTION] Task
@@ -46,10 +46,10 @@
     ~ResidencyTask();
 
     // Queries
-    auto isEngineReady() const -> bool; ///< it answered its last status
+    auto isEngineReady() const -> bool; ///< it answers status requests
     auto isUsable(const ArtifactName &artifact) const -> bool; ///< new requests may use it
     auto ledger() const -> const MemoryLedger *; ///< null before the first configuration
-    auto isSettled() const -> bool; ///< has read the floor's row from the table itself; until then everything resident is pinned
+    auto isSettled() const -> bool; ///< the floor's row has been read from the table; until then everything resident is pinned
     auto isPinned(const ArtifactName &artifact) const -> bool;
     auto planVersion() const -> RowVersion;
     auto engineGeneration() const -> std::uint64_t;
@@ -57,9 +57,9 @@
     // Commands
     auto adopt(const Declarations &declarations) -> void;
     auto floorRowRead(RowSource source, RowVersion version, const FloorRow &row) -> void;
-    /// Replaces this planner's last request; a lower sequence is ignored.
+    /// Replaces the last request, whichever planner sent it. Of one planner, only a higher sequence than the last is accepted.
     auto surgeRequested(const std::string &planner, std::uint64_t sequence, std::vector<ArtifactName> artifacts) -> void;
-    /// A call to the engine broke: finds out whether the engine is gone, then says so.
+    /// For a call to the engine that broke: finds out whether the engine has crashed, then calls `done`.
     auto checkForCrash(std::function<void(bool hasCrashed)> done) -> void;
 
     struct Private;
--- a/src/entry/callerrequest.cpp
+++ b/src/entry/callerrequest.cpp
@@ -18,7 +18,7 @@
 
 constexpr auto ServicesPrefix = "/services/";
 constexpr std::size_t MaxKeyLength = 256;
-constexpr std::size_t PrefixChars = 400; // of a prompt, taken as its shared beginning
+constexpr std::size_t PrefixChars = 400; // of a prompt; prompts that agree in these count as having a common prefix
 constexpr int BadRequest = 400;
 constexpr int NotFound = 404;
 constexpr int MethodNotAllowed = 405;
@@ -38,7 +38,7 @@
     return {BadRequest, code, detail};
 }
 
-/// The beginning of the prompt: of the first message for chat, of the text otherwise.
+/// The beginning of the prompt: of the first message of a chat, otherwise of the prompt's text.
 auto promptBeginning(const json &body) -> std::string
 {
     if (const auto messages = body.find("messages"); messages != body.end() && messages->is_array() && !messages->empty()) {
@@ -49,7 +49,7 @@
     return prompt == body.end() ? "" : prompt->dump().substr(0, PrefixChars);
 }
 
-/// Budget, priority and key: the same for models and plain services.
+/// Reads time budget, priority and idempotency key, which are the same for models and plain services.
 auto readRequestHeaders(const HttpRequest &http, const Service &service, CallerRequest &request) -> std::optional<Problem>
 {
     request.priority = service.priority;
--- a/src/entry/callerrequest.h
+++ b/src/entry/callerrequest.h
@@ -1,8 +1,8 @@
-// A caller's HTTP request, understood: which service, which artifacts, how long, how often. Or the problem with it.
+// Parses a caller's HTTP request: its service, artifacts, time budget and whether it may run twice, or the problem with it.
 //
 // Index of sections (search for [SECTION]):
 //   Problems   errors as problem details (application/problem+json) with a stable code
-//   Requests   CallerRequest and how it is read
+//   Requests   CallerRequest and its parser
 #pragma once
 
 #include "core/declarations.h"
@@ -18,9 +18,9 @@
 
 // [SECTION] Problems
 
-/// What every answer says about its request.
+/// Outcome of a request, stated in its answer.
 enum class CallerOutcome {
-    Delivered, ///< whole
+    Delivered, ///< the answer is complete
     NotRun, ///< certainly not run
     Unknown, ///< may have run
 };
@@ -31,7 +31,7 @@
     std::string code; ///< stable, e.g. "unknown-model"
     std::string detail; ///< one sentence
     CallerOutcome outcome = CallerOutcome::NotRun;
-    Duration retryAfter; ///< 0: none is stated
+    Duration retryAfter; ///< 0: no Retry-After header
 };
 
 /// {"type":"about:blank","title":CODE,"status":N,"code":CODE,"detail":...,"outcome":...,"request":ID}
@@ -40,34 +40,34 @@
 
 // [SECTION] Requests
 
-/// Headers that callers may send, to be kept by the HTTP server.
+/// Request headers that the HTTP server has to keep.
 auto callerHeaderNames() -> std::vector<std::string>;
 
 struct CallerRequest {
     RequestId id;
     ServiceName service;
     ServiceKind kind = ServiceKind::Models;
-    std::vector<ArtifactName> artifacts; ///< must be resident; base first
-    std::string method; ///< as the target sees it
+    std::vector<ArtifactName> artifacts; ///< that the target must have resident; a base before its adapter
+    std::string method; ///< as sent to the target; the path, headers and body too
     std::string path;
     HttpHeaders headers;
     std::string body;
     RequestKey key; ///< Idempotency-Key; empty if none
     bool isIdempotent = true;
-    bool mustRunOnce = false; ///< has a key and may not run twice: claimed before it is forwarded
+    bool mustRunOnce = false; ///< not idempotent, and has a key: claimed before it is forwarded
     bool wantsStream = false;
     Duration budget;
     Priority priority = Priority::Standard;
-    std::string fingerprint; ///< of its content, the same for every send
-    std::string prefixHash; ///< of the prompt's beginning; empty for plain services
+    std::string fingerprint; ///< hash of service, method, path and body; the same for every send of the request
+    std::string prefixHash; ///< hash of the model and the prompt's beginning; empty for plain services
 };
 
 struct CallerDefaults {
     Duration budget = Duration::seconds(30);
-    std::function<ArtifactName(const std::string &model)> versionOf; ///< which version a bare model name stands for now; may be null
+    std::function<ArtifactName(const std::string &model)> versionOf; ///< the version that a model name without a version stands for now; may be null
 };
 
-/// Reads one request under /v1/ or /services/. A key names a run only together with the service.
+/// Parses a request under /v1/ or /services/. An idempotency key identifies a run only together with the service.
 auto readCallerRequest(const HttpRequest &http, const RequestId &id, const Declarations &declarations, const CallerDefaults &defaults)
     -> std::variant<CallerRequest, Problem>;
 
--- a/src/entry/configsets.cpp
+++ b/src/entry/configsets.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr auto ObjectPrefix = "object:"; // no set begins like this: JSON begins with a brace
+constexpr auto ObjectPrefix = "object:"; // marks a reference; a set's text is JSON and begins with a brace
 constexpr auto KeyPrefix = "config/sets/";
 constexpr auto FetchDeadline = Duration::seconds(5);
 
@@ -56,7 +56,7 @@
         if (!object) {
             done(object.error());
         } else if (objectKey(object.value().body) != key) {
-            // Cut short on its way, a set would still be read, and its missing models would be unloaded everywhere.
+            // A truncated set might still parse, and the models missing from it would be unloaded everywhere.
             done(Error {ErrorCode::InvalidInput, "object " + key + " has other contents"});
         } else {
             done(object.value().body);
--- a/src/entry/configsets.h
+++ b/src/entry/configsets.h
@@ -1,7 +1,7 @@
-// Where the text of a set of declarations is kept: in its log row if it is small, otherwise as an object that the row refers to.
+// Stores the text of a set of declarations: in its log row if it is small, otherwise as an object that the row refers to.
 //
-// An object's key is made from its contents, so that writing it again, after a lost answer or by another entry, changes nothing. An object
-// without a row is left behind when a change loses a race; it does no harm.
+// An object's key is derived from its contents, so that writing it again, after a lost answer or by another entry, changes nothing. If a
+// change loses a race, its object stays without a row that refers to it, which is harmless.
 #pragma once
 
 #include "core/result.h"
@@ -18,12 +18,12 @@
 public:
     using Done = std::function<void(const Result<std::string> &text)>;
 
-    /// `objects` may be null: every set goes into its row then. Texts up to `inlineLimit` bytes always do.
+    /// If `objects` is null, every set goes into its row. Texts up to `inlineLimit` bytes always do.
     ConfigSets(ObjectClient *objects, std::size_t inlineLimit);
 
-    /// Answers with what the log row holds. After an error nothing refers to the set.
+    /// Passes `done` the value for the log row: the text itself or a reference to the object. After an error nothing refers to the set.
     auto store(const std::string &text, const Done &done) const -> void;
-    /// Answers with the text that a log row stands for. Errors: those of the store, and InvalidInput for an object with other contents.
+    /// Passes `done` the text that the log row's value stands for. Errors: those of the store, and InvalidInput for an object with other contents.
     auto fetch(const std::string &row, const Done &done) const -> void;
 
 private:
--- a/src/entry/configtask.cpp
+++ b/src/entry/configtask.cpp
@@ -1,6 +1,6 @@
 // Index of sections (search for [SECTION]):
 //   Adoption   polling, peers
-//   Commits    one operator's change, driven over the table
+//   Commits    writing operators' changes to the table
 #include "entry/configtask.h"
 
 #include "core/configlog.h"
@@ -17,7 +17,7 @@
 namespace
 {
 
-/// One change on its way. Owns itself through the task's set until it is decided.
+/// A change that is being committed. ConfigTask::Private::commits keeps it alive until it is decided.
 struct Commit {
     ConfigCommit machine;
     DeclarationsChange change;
@@ -72,9 +72,9 @@
 
     auto poll() -> void;
     auto onHead(const std::optional<std::vector<TableRow>> &rows) -> void;
-    /// Gets the text of a set, or nothing if it could not be read.
+    /// Receives the text of a set, or nothing if it could not be read.
     using SetDone = std::function<void(const std::optional<std::string> &text)>;
-    /// Adopts the set of that revision.
+    /// Reads the log row of that revision and adopts its set.
     auto readLog(Revision wanted, const SetDone &done) -> void;
     auto fetch(Revision wanted, const std::string &row, const SetDone &done) -> void;
     auto begin(const DeclarationsChange &change, const std::string &set, const std::string &row, std::function<void(const ChangeAnswer &)> answer) -> void;
@@ -118,7 +118,7 @@
 auto ConfigTask::Private::readLog(Revision wanted, const SetDone &done) -> void
 {
     table.read({configLogKey(wanted)}, [this, wanted, done](const std::optional<std::vector<TableRow>> &rows) {
-        if (!rows || rows->empty()) { // the next poll asks again
+        if (!rows || rows->empty()) { // the next poll reads it again
             return done(std::nullopt);
         }
         const auto entry = parseConfigLogEntry(rows->front().value);
@@ -217,8 +217,8 @@
 
 auto ConfigTask::Private::answerAccepted(const CommitPtr &commit, Revision accepted) -> void
 {
-    // An id that an operator used before stands for the set that was sent with it then. Put in force from this call, another set
-    // would be in force here under a revision that the table holds with other contents.
+    // A change id that was used before stands for the set that was sent with it then, so the set is read from the table. If this call's set
+    // were adopted and differed, this entry would have a revision in force whose contents differ from the table's.
     readLog(accepted, [commit, accepted](const std::optional<std::string> &set) {
         ChangeAnswer answer;
         answer.outcome = ChangeOutcome::Accepted;
--- a/src/entry/configtask.h
+++ b/src/entry/configtask.h
@@ -1,7 +1,7 @@
-// The configuration in an entry: commits operators' changes to the table, notices those of other entries, adopts only higher revisions.
+// The configuration of an entry: commits operators' changes to the table, polls for those of other entries, adopts only higher revisions.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks   what the rest of the entry is notified of
+//   Hooks   notifications to the rest of the entry, settings
 //   Task    ConfigTask
 #pragma once
 
@@ -21,14 +21,14 @@
 // [SECTION] Hooks
 
 struct ConfigHooks {
-    /// A revision is in force here from now on. `text` is the set as it travels to peers.
+    /// A revision has come into force in this entry. `text` is the serialised set, as it is sent to peers.
     std::function<void(Revision revision, const Declarations &declarations, const std::string &text)> onAdopted;
 };
 
 struct ConfigSettings {
     std::string entry; ///< part of write ids
-    Duration pollPeriod = Duration::seconds(1); ///< between looks at the table's head row
-    Duration commitTimeout = Duration::seconds(5); ///< after which an operator gets "unknown"
+    Duration pollPeriod = Duration::seconds(1); ///< between reads of the table's head row
+    Duration commitTimeout = Duration::seconds(5); ///< after which an operator gets the outcome "unknown"
     std::size_t inlineLimit = 32768; ///< bytes; larger sets go to the object store, and their log row refers to them
 };
 
@@ -48,9 +48,10 @@
     auto isStoreReachable() const -> bool; ///< the last poll was answered
 
     // Commands
-    /// Answers once: accepted only after the table has committed it.
+    /// Commits a change. Calls `answer` once, with Accepted only after the table has committed it.
     auto apply(const DeclarationsChange &change, std::function<void(const ChangeAnswer &)> answer) -> void;
-    /// A snapshot that a peer has in force: how a process that starts while the store is down gets its configuration.
+    /// Adopts a snapshot that a peer has in force, if its revision is higher. An entry that starts while the store is down gets its
+    /// configuration this way.
     auto offer(Revision revision, const std::string &text) -> void;
 
     struct Private;
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -1,5 +1,5 @@
 // Index of sections (search for [SECTION]):
-//   Parts       the tasks and what they tell each other
+//   Parts       the tasks and how they are connected
 //   Operators   status, drain, explain
 //   Control     messages from agents and other entries
 //   Pages       callers' requests, metrics and health
@@ -29,7 +29,7 @@
 namespace
 {
 
-constexpr auto FlushTime = Duration::millis(200);
+constexpr auto FlushTime = Duration::millis(200); // before the loop stops, so that the last answers are still sent
 constexpr auto LeaveCheckPeriod = Duration::millis(50);
 constexpr auto ForecastAhead = Duration::seconds(5);
 constexpr auto HousekeepingPeriod = Duration::millis(500);
@@ -251,7 +251,7 @@
     options.headerTimeout = settings.limits.headerTimeout;
     if (settings.tls.callers) {
         options.tls = settings.tls.files;
-        options.tls.authority.clear(); // callers need no certificate
+        options.tls.authority.clear(); // callers need no client certificate
     }
     callers = std::make_unique<HttpServer>(loop, options, [this](const auto &exchange) { handle(exchange); });
 }
@@ -371,7 +371,7 @@
 
 // [SECTION] Control
 
-/// What a peer needs to be useful at once, also while the store is down.
+/// The first frames on a control stream: what a peer needs to work at once, also while the store is down.
 auto Entry::Private::greeting() const -> std::vector<Wire::ControlFrame>
 {
     std::vector<Wire::ControlFrame> frames {helloFrame(settings.process.id, settings.process.zone.text(), incarnation)};
@@ -555,7 +555,7 @@
 Entry::~Entry()
 {
     if (d->operators) {
-        d->operators->shutdown(); // its threads call into the other parts
+        d->operators->shutdown(); // before the other parts are destroyed, since its threads call them
     }
 }
 
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,4 +1,4 @@
-// The entry: takes callers' requests, routes them to agents, plans where copies are kept, serves operators.
+// The entry: the process that receives callers' requests and routes them to agents, plans where copies are kept, and serves operators.
 //
 // Index of sections (search for [SECTION]):
 //   Entry   start, leave
@@ -21,9 +21,10 @@
     Entry(EventLoop &loop, DaemonSettings settings);
     ~Entry();
 
-    /// A planned stop: refuses what is new as not run, lets what is open finish, then stops the loop.
+    /// Starts a planned stop: refuses new requests as not run, lets open ones finish, ends those still open after the drain limit, then
+    /// stops the loop.
     auto leave() -> void;
-    /// 0 if nothing was cut off.
+    /// 0 unless requests were still open at the drain limit.
     auto exitCode() const -> int;
 
     struct Private;
--- a/src/entry/eventstream.h
+++ b/src/entry/eventstream.h
@@ -1,7 +1,7 @@
-// A caller's stream of server-sent events, put together from the streams of one or more attempts.
+// A caller's stream of server-sent events, assembled from the streams of one or more attempts.
 //
-// Why: a stream that breaks is resumed elsewhere at the number of tokens that were passed on. Were half an event passed on, the
-// caller would get it once in part and once whole.
+// A stream that breaks is resumed at another target, at the number of tokens that were forwarded. Only whole events are forwarded: if half
+// an event were, the caller would get that event once in part and once whole.
 #pragma once
 
 #include "core/eventstream.h"
@@ -21,12 +21,12 @@
     EventStream(const EventStream &) = delete;
     auto operator=(const EventStream &) -> EventStream & = delete;
 
-    auto tokens() const -> std::uint64_t; ///< whole data events so far, over all attempts, the end mark not counted
-    auto hasEnded() const -> bool; ///< the end mark "data: [DONE]" was met
+    auto tokens() const -> std::uint64_t; ///< whole data events so far, over all attempts, without the end mark
+    auto hasEnded() const -> bool; ///< the end mark "data: [DONE]" has been received
 
-    /// Takes bytes as they come; returns the whole events that they complete, the end mark included.
+    /// Takes the next bytes of the stream; returns the events that they complete, including the end mark.
     auto feed(std::string_view bytes) -> std::string;
-    /// Drops a half event: its attempt broke. The next bytes are another attempt's.
+    /// Starts the next attempt: drops the incomplete event of the attempt that broke.
     auto beginAttempt() -> void;
 
 private:
--- a/src/entry/fleet.cpp
+++ b/src/entry/fleet.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// An artifact that is named in a report but not loaded yet.
+/// The artifacts that a report names; if `confirmedOnly`, without those that are still loading.
 auto residentsOf(const Wire::LoadReport &report, bool confirmedOnly) -> std::vector<ArtifactName>
 {
     std::vector<ArtifactName> names;
@@ -47,7 +47,7 @@
     Wire::LoadReport report;
     bool hasReport = false;
     TimePoint lastUsableAt; ///< when it was last usable
-    bool drainSent = false; ///< for the list's mark
+    bool drainSent = false; ///< because the host list marks its host as leaving
 };
 
 } // namespace
@@ -60,7 +60,7 @@
     Membership membership;
     std::unique_ptr<PeerLinks> agents;
     std::unique_ptr<PeerLinks> entries;
-    std::map<std::string, Agent> knownAgents; // agents that have said hello
+    std::map<std::string, Agent> knownAgents; // agents that have sent a hello
     std::map<std::string, Revision> entryRevisions;
     std::map<TargetId, ServiceName> declaredServices;
     Timer advanceTimer;
@@ -129,7 +129,7 @@
     router.targetUp(TargetId(id), agent.zone, serviceOf(id, agent), loop.now());
 }
 
-/// An agent that starts before it has a configuration doesn't know its service.
+/// The agent's own service, otherwise the declared one: an agent that starts before it has a configuration may not know its service.
 auto Fleet::Private::serviceOf(const std::string &id, const Agent &agent) const -> ServiceName
 {
     const auto declared = declaredServices.find(TargetId(id));
@@ -182,7 +182,8 @@
     return member && member->state == MemberState::Live && agent.hasReport && agent.report.engine_ready();
 }
 
-/// An agent can't read the platform's list; it must refuse new work from every entry once its host is marked as leaving.
+/// Tells agents when the platform's host list marks their host as leaving, or no longer does. Agents can't read the list, and a leaving one
+/// must refuse new work from every entry.
 auto Fleet::Private::sendDrains() -> void
 {
     for (auto &[id, agent] : knownAgents) {
@@ -211,7 +212,7 @@
     for (const auto &id : liveBefore) {
         const auto member = membership.find(id);
         if (member && member->state == MemberState::Suspect && agents->isConnected(id)) {
-            LOG(WARNING) << "target: silent, connecting anew id=" << id;
+            LOG(WARNING) << "target: silent, reconnecting id=" << id;
             router.targetDown(TargetId(id), loop.now());
             agents->reconnect(id);
         }
@@ -302,7 +303,7 @@
 {
     auto entries = d->membership.live(HostRole::Entry);
     std::erase(entries, d->settings.self);
-    entries.push_back(d->settings.self); // always live to itself
+    entries.push_back(d->settings.self); // an entry always counts itself as live
     return rankMembers(subject, entries).front() == d->settings.self;
 }
 
--- a/src/entry/fleet.h
+++ b/src/entry/fleet.h
@@ -1,7 +1,7 @@
-// What an entry knows of agents and other entries: who is there, what they reported. Feeds the router and the planner.
+// What an entry knows of agents and other entries: their membership, connections and last reports. Supplies the router and the planner.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks   what the fleet tells
+//   Hooks   notifications, settings, FleetMember
 //   Fleet   the task
 #pragma once
 
@@ -23,7 +23,7 @@
 // [SECTION] Hooks
 
 struct FleetHooks {
-    std::function<std::vector<Wire::ControlFrame>()> greeting; ///< for a peer whose connection has come up
+    std::function<std::vector<Wire::ControlFrame>()> greeting; ///< first frames for a peer that has connected
     std::function<void()> onCapacity; ///< targets or copies may have appeared
     std::function<void(const Wire::Suspects &suspects)> onSuspects;
     std::function<void(const Wire::ControlFrame &frame)> onEntryFrame; ///< configuration, plan, demand, revisions
@@ -44,7 +44,7 @@
     MemberState state = MemberState::Proposed;
     Duration silentFor; ///< since it was last seen, or first listed
     Revision revision; ///< in force there; 0: not reported yet
-    Wire::LoadReport report; ///< agents
+    Wire::LoadReport report; ///< agents only: the last one
 };
 
 // [SECTION] Fleet
@@ -59,15 +59,15 @@
     auto members() const -> std::vector<FleetMember>; ///< agents and other entries
     auto runners() const -> std::vector<RunnerState>;
     auto holderReports() const -> std::map<TargetId, HolderReport>;
-    auto ranksFirst(const std::string &subject) const -> bool; ///< this entry, among the live ones
-    auto isListTrusted() const -> bool;
+    auto ranksFirst(const std::string &subject) const -> bool; ///< whether this entry does, of the live ones, for that subject
+    auto isListTrusted() const -> bool; ///< false while the platform's host list is considered wrong
     auto hasCopy(const ArtifactName &artifact) const -> bool; ///< on a live runner
 
     // Commands
-    auto adopt(const Declarations &declarations) -> void; ///< says which service a target is for, where its own settings don't
+    auto adopt(const Declarations &declarations) -> void; ///< the declarations assign a service to targets whose own settings name none
     auto listReceived(const std::vector<ListedHost> &hosts) -> void;
     auto entryReported(const std::string &id, Revision revision) -> void;
-    auto open(const TargetId &target) -> PeerStreamPtr;
+    auto open(const TargetId &target) -> PeerStreamPtr; ///< a request stream; null while not connected
     auto sendTo(const std::string &id, const Wire::ControlFrame &frame) -> void;
     auto sendAgents(const Wire::ControlFrame &frame) -> void;
     auto sendEntries(const Wire::ControlFrame &frame) -> void;
--- a/src/entry/operatormodule.h
+++ b/src/entry/operatormodule.h
@@ -1,4 +1,4 @@
-// Loads the operators' module into an entry, so that a process without it carries no gRPC.
+// Loads the operators' module, a shared library that contains the gRPC server. Processes that don't load it need no gRPC.
 #pragma once
 
 #include "core/result.h"
@@ -10,7 +10,7 @@
 namespace KingCup
 {
 
-/// The module's file: `setting` if it is given, otherwise kingcup-operator.so beside the executable.
+/// The module's file: `setting` unless it is empty, otherwise kingcup-operator.so in the executable's folder.
 auto operatorModulePath(const std::string &setting) -> std::string;
 
 /// Loads the module and starts its server. The module stays loaded until the process ends: gRPC's threads outlive a server.
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -11,12 +11,12 @@
 
 constexpr auto FloorSubject = "floor";
 constexpr auto SurgeSubject = "surge";
-constexpr auto SchedulePlanDelay = Duration::millis(100); // a missing copy is planned for after this, not at the next regular round
-constexpr auto SettleTime = Duration::seconds(2); // without a further runner, before the first floor is planned
+constexpr auto SchedulePlanDelay = Duration::millis(100); // until a plan outside the regular rounds, e.g. for a missing copy
+constexpr auto SettleTime = Duration::seconds(2); // without a change in the number of runners, before the first floor is planned
 constexpr auto SurgeRepeat = Duration::seconds(5); // well below the agents' ResidencySettings::surgeLifetime
 constexpr int RoundsPerRead = 3; // rounds between two reads of the floor's row by entries that don't plan it
 
-/// What a target was last sent.
+/// The surge request that a target was last sent.
 struct PublishedSurge {
     std::vector<ArtifactName> artifacts;
     TimePoint at;
@@ -173,8 +173,8 @@
     }
 }
 
-/// A first floor that is planned while runners are still connecting crowds everything onto the few that are there, and copies that are
-/// well placed aren't moved later. So it waits until no further runner has come for a while.
+/// If the first floor were planned while runners are still connecting, all copies would be placed on the few that are there, and copies that
+/// are well placed aren't moved later. So it waits until the number of runners hasn't changed for SettleTime.
 auto Planner::Private::isFleetSettled() -> bool
 {
     const auto count = hooks.runners().size();
@@ -200,7 +200,7 @@
         if (result.outcome == TransactOutcome::Committed) {
             adoptFloor(result.version, text);
         }
-        // Otherwise the next read tells what became of it.
+        // Otherwise the next read shows whether the write took effect.
     });
 }
 
@@ -214,7 +214,8 @@
     }
 }
 
-/// Only news, and now and then the same again: agents drop requests that are not repeated, and a message may have met a closed connection.
+/// Sends a changed request at once and an unchanged one again every SurgeRepeat: agents drop requests that aren't repeated, and a message may
+/// have been lost with a closed connection.
 auto Planner::Private::publishSurge(const TargetId &target, const std::vector<ArtifactName> &artifacts) -> void
 {
     auto &published = publishedSurge[target];
--- a/src/entry/planner.h
+++ b/src/entry/planner.h
@@ -1,8 +1,9 @@
-// Plans where copies are kept. Every entry runs one; the floor is written and surge copies are requested by the entry that ranks
-// first, without a lease: two planners at once waste effort but break nothing, since the floor's row changes by compare-and-set.
+// Plans where copies are kept. Every entry runs a planner, but only the entry that ranks first writes the floor, and only the one that
+// ranks first for surge copies requests these. No lease is needed: two planners at once waste effort but do no harm, since the floor's row
+// is changed by compare-and-set.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks     what the planner needs
+//   Hooks     inputs and outputs of the planner, settings
 //   Planner   the task
 #pragma once
 
@@ -28,11 +29,11 @@
     TableAccess table;
     std::function<bool(const std::string &subject)> ranksFirst; ///< among the live entries
     std::function<std::vector<RunnerState>()> runners; ///< as last reported
-    std::function<std::map<TargetId, HolderReport>()> holderReports; ///< of the same
+    std::function<std::map<TargetId, HolderReport>()> holderReports; ///< of the same runners
     std::function<std::vector<ArtifactDemand>()> demand; ///< forecast over the horizon
     std::function<std::vector<ArtifactName>()> retained; ///< old versions still in use
     std::function<void(RowVersion version, const std::string &plan)> onFloor; ///< a newer floor row was read
-    std::function<void(const TargetId &target, std::uint64_t sequence, const std::vector<ArtifactName> &artifacts)> surge; ///< surge copies of a target
+    std::function<void(const TargetId &target, std::uint64_t sequence, const std::vector<ArtifactName> &artifacts)> surge; ///< sends a target its surge copies
 };
 
 struct PlannerSettings {
@@ -51,13 +52,13 @@
 
     // Queries
     auto floorVersion() const -> RowVersion; ///< of the newest row read; 0: none
-    auto floorText() const -> const std::string &; ///< that row
+    auto floorText() const -> const std::string &; ///< contents of that row
     auto isStoreReachable() const -> bool; ///< the last read was answered
 
     // Commands
     auto adopt(const Declarations &declarations) -> void;
     auto floorRead(RowVersion version, const std::string &text) -> void; ///< from the table or a peer
-    auto schedulePlan() -> void; ///< before the next regular round: a request found no copy, say
+    auto schedulePlan() -> void; ///< before the next regular round, e.g. because a request found no copy
 
     struct Private;
 
--- a/src/entry/requestflows.cpp
+++ b/src/entry/requestflows.cpp
@@ -1,8 +1,8 @@
 // Index of sections (search for [SECTION]):
 //   Flow        one request
-//   Arrival     reading, admission
+//   Arrival     admission, the queue
 //   Attempts    choosing a target, sending
-//   Answers     what comes back
+//   Answers     frames from the target's agent
 //   Ending      retries and the final answer
 #include "entry/requestflows.h"
 
@@ -22,7 +22,7 @@
 
 constexpr auto RetryWaitingPeriod = Duration::millis(50); // while requests wait
 constexpr auto FallbackRetryAfter = Duration::seconds(1);
-constexpr std::size_t BytesPerToken = 4; // of a request's body, about
+constexpr std::size_t BytesPerToken = 4; // of a request's body; an estimate
 
 enum class FlowState { Waiting, Trying, Ended };
 
@@ -34,7 +34,7 @@
     TimePoint deadline;
     Timer expiry;
     PeerStreamPtr stream;
-    TargetId target; // of the attempt under way
+    TargetId target; // of the current attempt
     TimePoint sentAt;
     int attempts = 0;
     std::vector<TargetId> excluded;
@@ -46,7 +46,7 @@
     bool isStream = false; // server-sent events
     bool headReceived = false;
     EventStream events;
-    std::string bufferedBody; // a plain answer, until it is whole
+    std::string bufferedBody; // of an answer other than an event stream, until it is complete
     Wire::End lastEnd;
     bool endReceived = false;
 };
@@ -87,7 +87,7 @@
     AdmissionQueue queue;
     RetryBudget budget;
     std::unordered_map<RequestId, FlowPtr> flows;
-    std::map<LaneName, RoutingRequest> lanes; // what a lane's requests need
+    std::map<LaneName, RoutingRequest> lanes; // service and artifacts of each lane's requests
     Timer retryWaitingTimer;
     std::uint64_t count = 0;
     bool leaving = false;
@@ -159,7 +159,7 @@
     flow->expiry = parts.loop.after(request.budget, [this, flow] { onExpired(flow); });
     const auto lane = laneOf(request.service, request.artifacts);
     lanes.try_emplace(lane, routingRequest(*flow));
-    // Whoever waits in the lane goes first.
+    // Requests that already wait in the lane go first.
     if (queue.waiting(lane) > 0 || !tryNow(flow)) {
         wait(flow);
     }
@@ -216,12 +216,12 @@
         if (found == flows.end()) {
             continue;
         }
-        // A copy: refusing the request erases it from the list, and a reference into the list would then be of something gone. The entry died
-        // of that under load, with every answer that it was passing on.
+        // A copy of the pointer: tryNow() may refuse the request, which erases it from `flows`, and a reference into the map would dangle. That
+        // crashed the entry under load, with all answers in flight.
         const auto flow = found->second;
         if (!tryNow(flow)) {
             again.push_back(flow);
-            break; // the router sees less capacity than the queue: no use in going on now
+            break; // the router sees less capacity than hasCapacity() did; further tries are pointless now
         }
     }
     for (const auto &flow : again) {
@@ -250,13 +250,13 @@
     return routing;
 }
 
-/// False if there is no capacity now and the request should wait. Anything final is said to the caller here.
+/// False if there is no capacity now and the request should wait. A final refusal is sent to the caller here.
 auto RequestFlows::Private::tryNow(const FlowPtr &flow) -> bool
 {
     flow->runsAlone = parts.suspects.verdict(flow->request.fingerprint, now()) == Verdict::Alone;
     auto choice = parts.router.choose(routingRequest(*flow), now());
     if (choice.isRefused() && choice.refusal == RoutingRefusal::AllExcluded && !flow->mayHaveRun) {
-        flow->excluded.clear(); // they refused it; by now one may have capacity
+        flow->excluded.clear(); // these targets refused the request; one of them may have capacity later
         return false;
     }
     if (!choice.isRefused()) {
@@ -326,7 +326,8 @@
     flow->stream->send(openMessage(*flow));
 }
 
-/// Hooks of one attempt's stream. They name that stream, so that a late answer of an attempt that was given up counts for nothing.
+/// Sets the hooks of the attempt's stream. They check that this is still the current stream, so that late frames of an abandoned attempt are
+/// ignored.
 auto RequestFlows::Private::listen(const FlowPtr &flow) -> void
 {
     auto *raw = flow->stream.get();
@@ -368,7 +369,7 @@
     } else if (frame.has_end()) {
         flow->lastEnd = frame.end();
         flow->endReceived = true;
-        // Whatever the agent says: a stream without its end mark isn't whole, and is never passed off as such.
+        // An event stream without its end mark is incomplete, even if the agent reports it as delivered.
         const bool isCut = frame.end().outcome() == Wire::OUTCOME_DELIVERED && flow->isStream && !flow->events.hasEnded();
         const auto outcome = isCut ? AttemptOutcome::Unknown : outcomeOf(frame.end());
         onAttemptEnd(flow, {outcome, isCut ? "incomplete" : frame.end().code(), flow->events.tokens(), flow->exchange->hasBegun()});
@@ -389,7 +390,7 @@
     flow->isStream = headerValue(flow->headers, "content-type").starts_with("text/event-stream");
     if (flow->isStream && !flow->exchange->hasBegun()) {
         auto headers = flow->headers;
-        // The outcome of a stream is known at its end only: "[DONE]" says delivered, an error event says what else.
+        // The outcome of a stream is known only at its end: "[DONE]" means delivered, an error event states any other outcome.
         headers.push_back({"kingcup-outcome", "streamed"});
         headers.push_back({"kingcup-request", flow->request.id.text()});
         flow->exchange->begin(flow->status, std::move(headers));
@@ -415,7 +416,7 @@
     }
 }
 
-/// A caller that reads slowly holds back its stream all the way to the engine.
+/// Pauses the target's stream if the caller reads slowly; the agent then pauses the engine's.
 auto RequestFlows::Private::applyBackpressure(const FlowPtr &flow) -> void
 {
     if (flow->isPaused || flow->exchange->pendingBytes() <= settings.streamBuffer) {
@@ -454,7 +455,7 @@
     retryWaiting();
 }
 
-/// The next target must not meet the request unprepared.
+/// If the target crashed, marks the request as a suspect before it is sent to another target.
 auto RequestFlows::Private::recordCrash(const Flow &flow, const AttemptEnd &end) -> void
 {
     if (end.code != "target-crashed") {
@@ -562,7 +563,7 @@
             + " ms=" + std::to_string(took.inMillis()));
 }
 
-/// Gives up the attempt under way: its late answer, if one comes, counts for nothing.
+/// Abandons the current attempt; a late answer to it is ignored.
 auto RequestFlows::Private::dropAttempt(const FlowPtr &flow, AttemptResult result) -> void
 {
     if (flow->state != FlowState::Trying) {
--- a/src/entry/requestflows.h
+++ b/src/entry/requestflows.h
@@ -1,7 +1,7 @@
-// The way of each caller's request through the entry: understood, admitted, routed, tried, tried again where that is safe, answered.
+// Handles each caller's request in the entry: parses and admits it, routes it to a target, retries where that is safe, and answers it.
 //
 // Index of sections (search for [SECTION]):
-//   Parts      the decisions and hooks that the flows use
+//   Parts      the entry's other parts that the flows use, settings, hooks
 //   Flows      RequestFlows
 #pragma once
 
@@ -36,9 +36,9 @@
 
 struct FlowSettings {
     std::string entry; ///< this entry's id: part of request ids
-    std::uint64_t incarnation = 0;
-    std::size_t streamBuffer = 256U << 10U; ///< bytes towards a caller before the target is held back
-    std::size_t maxBufferedAnswer = 8U << 20U; ///< bytes of an answer that are kept until it is whole; longer ones are streamed
+    std::uint64_t incarnation = 0; ///< of this start of the process: part of request ids
+    std::size_t streamBuffer = 256U << 10U; ///< unsent bytes towards a caller above which reading from the target pauses
+    std::size_t maxBufferedAnswer = 8U << 20U; ///< bytes of an answer other than an event stream; larger ones end as "answer-too-large"
     int maxQueue = 4096;
     Duration requestBudget = Duration::seconds(30);
     HedgeOptions hedge;
@@ -46,8 +46,8 @@
 
 struct FlowHooks {
     std::function<PeerStreamPtr(const TargetId &target)> openStream; ///< null while not connected
-    std::function<ArtifactName(const std::string &model)> versionOf; ///< which version a bare model name stands for now
-    std::function<void()> onSuspects; ///< something is known that others should hear
+    std::function<ArtifactName(const std::string &model)> versionOf; ///< the version that a model name without a version stands for now
+    std::function<void()> onSuspects; ///< there are new suspects, to be sent to the other processes
     std::function<void(const ArtifactName &artifact)> onMissing; ///< a request found no copy of it
 };
 
@@ -60,13 +60,13 @@
     ~RequestFlows();
 
     auto open() const -> std::size_t; ///< requests not yet answered
-    auto waiting() const -> std::size_t; ///< of those, in the queue
+    auto waiting() const -> std::size_t; ///< of the open ones, those in the queue
 
     auto adopt(const Declarations &declarations) -> void;
     auto handle(const std::shared_ptr<HttpExchange> &exchange) -> void; ///< a request under /v1/ or /services/
-    auto retryWaiting() -> void; ///< capacity or copies may have appeared
-    auto setLeaving() -> void; ///< refuses what is new, as not run
-    /// Gives up all that is open; returns how many that was.
+    auto retryWaiting() -> void; ///< for when capacity or copies may have appeared
+    auto setLeaving() -> void; ///< from now on, new requests are refused as not run
+    /// Ends all open requests as if their time had run out; returns how many there were.
     auto abandonAll() -> int;
 
     struct Private;
--- a/src/entry/systemstatus.cpp
+++ b/src/entry/systemstatus.cpp
@@ -41,11 +41,12 @@
     return process;
 }
 
-/// How long a listed process that was never seen counts as one that will answer.
+/// Time for which a listed process that was never seen is still expected to connect.
 constexpr auto ProposedTimeout = Duration::seconds(10);
 
-/// A process that is gone doesn't hold up a change: it gets the newest revision when it is back. One that is listed but not seen yet does for a
-/// while: an entry that has just started would otherwise report a change as in force everywhere because it knows nobody.
+/// Whether a revision is in force everywhere only once this process has it. A process that is gone doesn't count: it gets the newest revision
+/// when it returns. One that is listed but was never seen counts for ProposedTimeout: otherwise an entry that has just started, and has seen no
+/// other process, would report a change as in force everywhere.
 auto countsForRevision(const FleetMember &member) -> bool
 {
     const bool isExpected = member.state == MemberState::Proposed && member.silentFor < ProposedTimeout;
--- a/src/entry/systemstatus.h
+++ b/src/entry/systemstatus.h
@@ -1,4 +1,4 @@
-// What `kingcupctl status` shows, put together from what an entry knows.
+// The status of the whole system as `kingcupctl status` shows it, composed from what an entry knows.
 #pragma once
 
 #include "core/demand.h"
@@ -15,7 +15,7 @@
     Revision revision;
     bool isLeaving = false;
     int open = 0; ///< requests not yet answered
-    int waiting = 0; ///< of those, in the queue
+    int waiting = 0; ///< of the open ones, those in the queue
     RowVersion planVersion;
     bool isStoreReachable = false;
 };
--- a/tests/unit_claimtask.cpp
+++ b/tests/unit_claimtask.cpp
@@ -9,7 +9,7 @@
 
 constexpr auto Limit = Duration::seconds(20);
 
-/// A table that commits everything, a moment later.
+/// A table that commits every transaction, asynchronously.
 auto committingTable(EventLoop &loop, int &version) -> TableAccess
 {
     TableAccess table;
@@ -34,10 +34,10 @@
 
 } // namespace
 
-TEST_CASE("a caller that leaves before its claim is written leaves nothing open")
+TEST_CASE("a caller that leaves before its claim is written leaves no open claim")
 {
-    // A clerk's connection drops in the moment in which the debit arrives. Were its claim kept open, the agent would wait for it when it
-    // should stop, and the clerk's next try would be told that the debit is running.
+    // A caller's connection drops just after its request arrived. If the claim stayed open, the agent would wait for it during a planned
+    // stop, and the caller's next try would be answered that the request is running.
     EventLoop loop;
     int version = 0;
     ClaimTask claims(loop, committingTable(loop, version), settings());
--- a/tests/unit_configtask.cpp
+++ b/tests/unit_configtask.cpp
@@ -18,7 +18,7 @@
     std::map<std::string, TableRow> rows;
     std::uint64_t version = 0;
     bool down = false;
-    int answersToLose = 0; ///< of transactions that take effect
+    int answersToLose = 0; ///< for so many transactions, the table commits but its answer is lost
     std::size_t transactions = 0;
 
     auto access() -> TableAccess
@@ -155,7 +155,7 @@
     return {.id = ChangeId(id), .expected = Revision(expected), .set = declarationsWith(moveCost), .author = "unit"};
 }
 
-/// An answer that has not come yet is empty.
+/// Empty until the answer has arrived.
 using Answer = std::optional<ChangeAnswer>;
 
 auto storeAnswerIn(Answer &answer) -> std::function<void(const ChangeAnswer &)>
@@ -168,7 +168,7 @@
 
 } // namespace
 
-TEST_CASE("an accepted change comes into force in the entry that was asked and in the others")
+TEST_CASE("an accepted change comes into force in the entry that received it and in the others")
 {
     ConfigFixture fixture;
     const auto first = fixture.entry("entry-1");
@@ -183,10 +183,10 @@
     REQUIRE(first->text() == second->text());
 }
 
-TEST_CASE("of two operators who race, one wins and the other learns which revision beat it")
+TEST_CASE("of two concurrent changes one is accepted and the other gets a conflict that names the accepted revision")
 {
-    // Two operators apply at the same moment, each through another entry and against the same revision. Were both accepted, the
-    // second would silently undo the first.
+    // Two operators apply changes to the same revision at the same time through different entries. If both were accepted, the second would
+    // silently undo the first.
     ConfigFixture fixture;
     const auto first = fixture.entry("entry-1");
     const auto second = fixture.entry("entry-2");
@@ -203,9 +203,9 @@
     REQUIRE(fixture.table.transactions == 1);
 }
 
-TEST_CASE("a commit whose answer is lost is told as accepted, once")
+TEST_CASE("a commit whose answer is lost is reported as accepted and made once")
 {
-    // The table commits, and its answer is lost on the way. Told "not done", the operator would apply it again as another revision.
+    // The table commits, and its answer is lost. If the change were reported as not made, the operator would apply it again as another revision.
     ConfigFixture fixture;
     fixture.table.answersToLose = 1;
     const auto entry = fixture.entry("entry-1");
@@ -217,10 +217,10 @@
     REQUIRE(fixture.table.transactions == 1);
 }
 
-TEST_CASE("a change id that was used for another set puts nothing in force")
+TEST_CASE("a change id that was used for another set is refused")
 {
-    // An operator asks again about a change, but has edited the files in between. Taken as accepted, the edited set would be in force
-    // in this entry alone, under a revision that every other process knows with other contents.
+    // An operator repeats a change with the same id, but has edited the files in between. If that were accepted, the edited set would be in
+    // force in this entry only, under a revision that has other contents in every other process.
     ConfigFixture fixture;
     const auto entry = fixture.entry("entry-1");
     Answer first;
@@ -240,9 +240,9 @@
     REQUIRE(same->revision == Revision(1));
 }
 
-TEST_CASE("with the store down a change is certainly not made, and a peer's snapshot comes into force")
+TEST_CASE("with the store down a change is unavailable, and a peer's snapshot comes into force")
 {
-    // An entry starts during an outage of the table. Without the snapshot of a peer it would know no service and refuse every caller.
+    // An entry starts during an outage of the table. Without a peer's snapshot it would know no service and refuse every caller.
     ConfigFixture fixture;
     fixture.table.down = true;
     const auto entry = fixture.entry("entry-1");
@@ -258,7 +258,7 @@
 
 TEST_CASE("a configuration in force never reverts")
 {
-    // A peer that lags, or a snapshot cut short on its way, offers what is older or unreadable.
+    // A lagging peer offers an older snapshot, or a snapshot has been truncated and can't be parsed.
     ConfigFixture fixture;
     fixture.table.down = true;
     const auto entry = fixture.entry("entry-1");
@@ -271,7 +271,7 @@
     REQUIRE(fixture.adopted == std::vector {Revision(5)});
 }
 
-TEST_CASE("a set with findings is refused before the store is asked")
+TEST_CASE("a set with findings is refused without a write to the store")
 {
     ConfigFixture fixture;
     const auto entry = fixture.entry("entry-1");
@@ -299,7 +299,7 @@
     REQUIRE(fixture.table.rows.at(configLogKey(Revision(1))).value.find("moveCost") == std::string::npos);
 }
 
-TEST_CASE("a large set that the object store can't keep is certainly not in force")
+TEST_CASE("a large set that the object store can't keep isn't committed")
 {
     ConfigFixture fixture;
     fixture.inlineLimit = 10;
@@ -312,10 +312,10 @@
     REQUIRE(fixture.table.transactions == 0);
 }
 
-TEST_CASE("an object that is not what its row refers to is never put in force")
+TEST_CASE("an object whose contents don't match its key never comes into force")
 {
-    // An object arrives cut short, or someone overwrote it. It may still read as a set, only with models missing: in force, those would
-    // be unloaded everywhere. The entry waits for the right one instead.
+    // An object is truncated in transit or has been overwritten. It may still parse, with models missing that would be unloaded everywhere
+    // if it came into force. The entry waits for the right contents instead.
     ConfigFixture fixture;
     fixture.inlineLimit = 10;
     const auto first = fixture.entry("entry-1");
--- a/tests/unit_requestflows.cpp
+++ b/tests/unit_requestflows.cpp
@@ -11,7 +11,7 @@
 
 constexpr auto Limit = Duration::seconds(20);
 
-/// Flows before played agents, behind a real HTTP server.
+/// RequestFlows behind a real HTTP server; the test plays the agents' ends of the request streams.
 struct FlowsFixture {
     EventLoop loop;
     Router router {RoutingOptions {}};
@@ -92,10 +92,10 @@
 
 } // namespace
 
-TEST_CASE("a request that waited is refused when the room that appears is too slow for it")
+TEST_CASE("a waiting request is refused if the target that gets capacity is too slow for it")
 {
-    // A request waits, for its only target is full. Then the target has room, but has become so slow that the request can't be in time there.
-    // The entry refused it while still holding a reference into its list of requests, and died; every caller found it unreachable.
+    // The only target is full, so the request waits. Then the target has capacity, but is too slow for the request's deadline.
+    // The entry refused the request while still holding a reference into its map of requests, and crashed; all callers found it unreachable.
     FlowsFixture fixture;
     fixture.report("runner-1", 64, Duration::millis(100));
     const auto answer = fixture.sendRequest(Plain, "5000");
@@ -108,10 +108,10 @@
     REQUIRE(fixture.flows.open() == 0);
 }
 
-TEST_CASE("the late answer of an attempt that was given up reaches nobody")
+TEST_CASE("a late answer of an abandoned attempt is dropped")
 {
-    // The time budget runs out while a target still works. Its answer comes afterwards, when the caller's next request is already under way: were it
-    // taken for that one's, a clerk would read another patron's balance.
+    // The time budget runs out while a target still works, and its answer arrives during the next request. If it were taken for that
+    // request's answer, the caller would get somebody else's data.
     FlowsFixture fixture;
     fixture.report("runner-1", 0, Duration::millis(10));
     const auto first = fixture.sendRequest(Plain, "200");
@@ -133,10 +133,10 @@
     REQUIRE(second->body == "its own");
 }
 
-TEST_CASE("a stream that breaks in the middle of an event goes on elsewhere with that event")
+TEST_CASE("a stream that breaks in the middle of an event is resumed at another target with that event")
 {
-    // An agent's host dies while it passes on a stream, with half an event on the way. The other target goes on at the number of whole events. Were the
-    // half passed on as well, the caller would read that token one and a half times.
+    // An agent's host fails while half an event of a stream has arrived. The other target resumes after the last whole event. If the half
+    // event were forwarded too, the caller would get that token once in part and once whole.
     FlowsFixture fixture;
     fixture.report("runner-1", 0, Duration::millis(10));
     const auto answer = fixture.sendRequest(Streamed, "10000");
@@ -157,10 +157,10 @@
     REQUIRE(answer->body == "data: one\n\ndata: two\n\ndata: [DONE]\n\n");
 }
 
-TEST_CASE("a stream without its end mark is not passed off as whole")
+TEST_CASE("a stream without its end mark is not reported as delivered")
 {
-    // An engine closes its stream in order but early, and its agent takes that for the end. Told "delivered", an inspector would read half a review as if it
-    // were all of it. There is no second target, so the caller gets an error event.
+    // An engine closes its stream in order but early, and its agent reports it as delivered. The caller would take the part for the whole
+    // answer. There is no second target to resume at, so the caller gets an error event.
     FlowsFixture fixture;
     fixture.report("runner-1", 0, Duration::millis(10));
     const auto answer = fixture.sendRequest(Streamed, "10000");
@@ -174,9 +174,9 @@
     REQUIRE(answer->body.find("\"outcome\":\"unknown\"") != std::string::npos);
 }
 
-TEST_CASE("a call that must not repeat is not sent again once it may have run")
+TEST_CASE("a non-idempotent call without a key is not sent again once it may have run")
 {
-    // A target dies after it took a debit without a key. Sent elsewhere, the debit would be made twice.
+    // A target fails after it received a debit without an idempotency key. If it were sent to another target, the debit could be made twice.
     FlowsFixture fixture;
     Declarations set;
     set.services[ServiceName("ledger")] = Service {.name = ServiceName("ledger"), .kind = ServiceKind::Plain, .nonIdempotentCalls = {{"POST", "/debits"}}};
--- a/tests/unit_requesttasks.cpp
+++ b/tests/unit_requesttasks.cpp
@@ -11,7 +11,7 @@
 
 constexpr auto Limit = Duration::seconds(20);
 
-/// An agent's tasks before a target that holds every call until the test lets it go.
+/// RequestTasks with a target that keeps every call open until the test answers it.
 struct TasksFixture {
     EventLoop loop;
     std::vector<std::shared_ptr<HttpExchange>> calls;
@@ -79,10 +79,10 @@
 
 } // namespace
 
-TEST_CASE("a leaving target refuses what is new and finishes what runs")
+TEST_CASE("a leaving target refuses new requests and finishes running ones")
 {
-    // An entry hasn't heard yet that a target is leaving and sends it one more request. Were it taken, the stop would wait for it or cut it off; refused as
-    // not run, it goes to another target and its caller notices nothing.
+    // An entry that doesn't know yet that a target is leaving sends it one more request. If it were accepted, the stop would wait for it or
+    // cut it off. Refused as not run, it goes to another target, unnoticed by its caller.
     TasksFixture fixture;
     const auto running = fixture.send("before");
     REQUIRE(fixture.await([&] { return fixture.calls.size() == 1; }));
@@ -95,9 +95,10 @@
     REQUIRE(fixture.calls.size() == 1);
 }
 
-TEST_CASE("a request for what isn't resident, or is quarantined, or can't be claimed, is refused before it runs")
+TEST_CASE("a request that is quarantined, can't be claimed, or whose model isn't resident is refused before it runs")
 {
-    // An entry's picture is old: the copy has gone, another process has seen the request crash its target, the store is away. The agent's own state decides.
+    // The entry's state is out of date: the copy has been unloaded, another process has reported that the request crashes targets, or the
+    // store is unreachable. The agent's own state decides.
     TasksFixture fixture;
     fixture.isResident = false;
     REQUIRE(endOf(*fixture.send("gone")).code() == "not-resident");
@@ -112,9 +113,9 @@
     REQUIRE(fixture.calls.empty());
 }
 
-TEST_CASE("a suspect runs with nothing beside it")
+TEST_CASE("a suspect runs alone")
 {
-    // A request was in flight when an engine crashed. Beside others it would take them along if it is the cause, and they would all be suspects.
+    // A request was in flight when an engine crashed. If it is the cause and ran together with others, these would fail too and become suspects.
     TasksFixture fixture;
     const auto first = fixture.send("usual");
     REQUIRE(fixture.await([&] { return fixture.calls.size() == 1; }));
@@ -132,9 +133,9 @@
     REQUIRE(fixture.await([&] { return endOf(*next).outcome() == Wire::OUTCOME_DELIVERED; }));
 }
 
-TEST_CASE("an answer that breaks off is unknown, never delivered")
+TEST_CASE("an answer that breaks off is reported as unknown, never as delivered")
 {
-    // A target dies in the middle of its answer. The part must not be passed off as the whole, and nobody may be told that it wasn't run.
+    // A target fails in the middle of its answer. The part must not be reported as the whole answer, nor the request as not run.
     TasksFixture fixture;
     const auto stream = fixture.send("cut");
     REQUIRE(fixture.await([&] { return fixture.calls.size() == 1; }));
