--- a/src/gateway/callerserver.cpp
+++ b/src/gateway/callerserver.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-constexpr std::size_t ReadAheadBytes = 65536; ///< of a request that comes before the answer to the last one
-constexpr auto SweepPeriod = Duration::millis(250); ///< between looks for slow and idle callers
+constexpr std::size_t MaxReadAheadBytes = 65536; ///< of a request that comes before the answer to the last one
+constexpr auto TimeoutCheckPeriod = Duration::millis(250); ///< between looks for slow and idle callers
 constexpr auto LingerTime = Duration::seconds(1); ///< for a caller to read its last answer before the connection is closed
 
 } // namespace
@@ -32,14 +32,14 @@
     std::unordered_set<std::shared_ptr<CallerConnection>> connections;
     std::size_t openExchanges = 0;
     bool leaving = false;
-    Timer sweep;
+    Timer timeoutTimer;
 
     Private(EventLoop &ownerLoop, Handler requestHandler)
         : loop(ownerLoop)
         , handler(std::move(requestHandler))
     {
     }
-    auto checkTimes() -> void;
+    auto checkTimeouts() -> void;
 };
 
 // [SECTION] Connection
@@ -56,7 +56,7 @@
     }
     auto isLastAnswer() const -> bool
     {
-        return m_closeAfter || m_server->leaving;
+        return m_closeAfterAnswer || m_server->leaving;
     }
     auto pendingBytes() const -> std::size_t
     {
@@ -68,9 +68,9 @@
             m_stream->write(bytes);
         }
     }
-    auto answered() -> void; ///< the exchange's answer was written to its end
+    auto answerFinished() -> void; ///< the exchange's answer was written to its end
     auto close() -> void;
-    auto checkTimes(TimePoint now) -> void;
+    auto checkTimeouts(TimePoint now) -> void;
 
 private:
     auto onData(std::string_view bytes) -> void;
@@ -87,22 +87,22 @@
     std::shared_ptr<CallerServer::Private> m_server;
     std::unique_ptr<TcpStream> m_stream; ///< null once closed
     HttpReader m_reader;
-    std::string m_unread; ///< bytes behind the request that is being answered
+    std::string m_unparsed; ///< bytes behind the request that is being answered
     std::string m_body;
     CallerExchangePtr m_exchange; ///< being answered
-    bool m_closeAfter = false; ///< the answer under way is the last of this connection
+    bool m_closeAfterAnswer = false; ///< the answer under way is the last of this connection
     bool m_bodyTooLarge = false;
     bool m_lingering = false;
     bool m_isReading = false; ///< within read()
-    TimePoint m_begunAt; ///< of the request being read
-    TimePoint m_quietSince; ///< the last byte read, or the last answer's end
+    TimePoint m_requestStartedAt; ///< of the request being read
+    TimePoint m_lastActivityAt; ///< the last byte read, or the last answer's end
 };
 
 CallerConnection::CallerConnection(std::shared_ptr<CallerServer::Private> server, std::unique_ptr<TcpStream> stream)
     : m_server(std::move(server))
     , m_stream(std::move(stream))
     , m_reader(HttpReader::Kind::Request, m_server->limits.headBytes)
-    , m_quietSince(m_server->loop.now())
+    , m_lastActivityAt(m_server->loop.now())
 {
 }
 
@@ -141,10 +141,10 @@
     if (m_lingering) {
         return;
     }
-    m_quietSince = m_server->loop.now();
-    m_unread.append(bytes);
+    m_lastActivityAt = m_server->loop.now();
+    m_unparsed.append(bytes);
     if (m_exchange) {
-        if (m_unread.size() > ReadAheadBytes) {
+        if (m_unparsed.size() > MaxReadAheadBytes) {
             m_stream->pauseReading();
         }
         return;
@@ -155,12 +155,12 @@
 auto CallerConnection::read() -> void
 {
     m_isReading = true;
-    while (m_stream && !m_exchange && !m_lingering && !m_unread.empty()) {
+    while (m_stream && !m_exchange && !m_lingering && !m_unparsed.empty()) {
         if (!m_reader.hasBegun()) {
-            m_begunAt = m_server->loop.now();
+            m_requestStartedAt = m_server->loop.now();
         }
-        const auto used = m_reader.feed(m_unread);
-        m_unread.erase(0, used);
+        const auto used = m_reader.feed(m_unparsed);
+        m_unparsed.erase(0, used);
         if (m_bodyTooLarge) {
             refuse(HttpStatus::ContentTooLarge);
         } else if (m_reader.fault() == HttpFault::TooLarge) {
@@ -194,8 +194,8 @@
 
 auto CallerConnection::dispatch() -> void
 {
-    m_closeAfter = !m_reader.head().keepsConnection;
-    m_exchange = std::make_shared<CallerExchange>(weak_from_this(), m_reader.head(), std::move(m_body), m_begunAt);
+    m_closeAfterAnswer = !m_reader.head().keepsConnection;
+    m_exchange = std::make_shared<CallerExchange>(weak_from_this(), m_reader.head(), std::move(m_body), m_requestStartedAt);
     ++m_server->openExchanges;
     m_server->handler(m_exchange);
 }
@@ -209,7 +209,7 @@
     linger();
 }
 
-auto CallerConnection::answered() -> void
+auto CallerConnection::answerFinished() -> void
 {
     const auto self = shared_from_this();
     const bool isLast = isLastAnswer();
@@ -218,7 +218,7 @@
         linger();
         return;
     }
-    m_quietSince = m_server->loop.now();
+    m_lastActivityAt = m_server->loop.now();
     if (m_stream) {
         m_stream->resumeReading();
     }
@@ -232,7 +232,7 @@
 auto CallerConnection::linger() -> void
 {
     m_lingering = true;
-    m_quietSince = m_server->loop.now();
+    m_lastActivityAt = m_server->loop.now();
     if (m_stream) {
         m_stream->resumeReading();
         m_stream->finishWriting();
@@ -265,21 +265,21 @@
     }
 }
 
-auto CallerConnection::checkTimes(TimePoint now) -> void
+auto CallerConnection::checkTimeouts(TimePoint now) -> void
 {
-    const auto quiet = now - m_quietSince;
+    const auto idleTime = now - m_lastActivityAt;
     const auto &limits = m_server->limits;
     if (m_lingering) {
-        if (quiet > LingerTime) {
+        if (idleTime > LingerTime) {
             close();
         }
     } else if (m_exchange) {
         return;
     } else if (!m_reader.hasBegun()) {
-        if (quiet > limits.idleTimeout) {
+        if (idleTime > limits.idleTimeout) {
             close();
         }
-    } else if (m_reader.hasHead() ? quiet > limits.headTimeout : now - m_begunAt > limits.headTimeout) {
+    } else if (m_reader.hasHead() ? idleTime > limits.headTimeout : now - m_requestStartedAt > limits.headTimeout) {
         refuse(HttpStatus::RequestTimeout);
     }
 }
@@ -348,7 +348,7 @@
     m_begun = true;
     m_finished = true;
     connection->write(bytes);
-    connection->answered();
+    connection->answerFinished();
 }
 
 auto CallerExchange::begin(int status, HttpHeaders headers, std::optional<std::uint64_t> length) -> void
@@ -385,7 +385,7 @@
     if (m_chunked) {
         connection->write(LastChunk);
     }
-    connection->answered();
+    connection->answerFinished();
 }
 
 auto CallerExchange::abort() -> void
@@ -400,12 +400,12 @@
 
 // [SECTION] Server
 
-auto CallerServer::Private::checkTimes() -> void
+auto CallerServer::Private::checkTimeouts() -> void
 {
     const std::vector<std::shared_ptr<CallerConnection>> all(connections.begin(), connections.end());
     const auto now = loop.now();
     for (const auto &connection : all) {
-        connection->checkTimes(now);
+        connection->checkTimeouts(now);
     }
 }
 
@@ -418,7 +418,7 @@
         raw->connections.insert(connection);
         connection->start();
     });
-    d->sweep = loop.every(SweepPeriod, [raw = d.get()] { raw->checkTimes(); });
+    d->timeoutTimer = loop.every(TimeoutCheckPeriod, [raw = d.get()] { raw->checkTimeouts(); });
 }
 
 CallerServer::~CallerServer()
@@ -427,7 +427,7 @@
     for (const auto &connection : all) {
         connection->close();
     }
-    d->sweep.cancel();
+    d->timeoutTimer.cancel();
 }
 
 auto CallerServer::port() const -> int
--- a/src/gateway/forwardedanswer.cpp
+++ b/src/gateway/forwardedanswer.cpp
@@ -24,17 +24,17 @@
     m_head = head;
     m_answer = answer;
     if (HttpStatus::isSuccess(head.status) && m_route.kind == RouteKind::Stream) {
-        beginPassing();
+        beginForwarding();
     }
     return AnswerVerdict::Take;
 }
 
 /// The status and headers go to the client with the first bytes: a stream that breaks before any can still be sent elsewhere.
-auto ForwardedRequest::beginPassing() -> void
+auto ForwardedRequest::beginForwarding() -> void
 {
-    m_passing = true;
+    m_isForwarding = true;
     if (m_route.isResumable && !m_events) {
-        m_events.emplace([this](std::string_view raw) { passOn(raw); });
+        m_events.emplace([this](std::string_view raw) { forwardBytes(raw); });
     }
 }
 
@@ -46,29 +46,29 @@
     }
     m_owner.parts.dispatcher.firstToken(m_send, now());
     m_answerBytes += bytes.size();
-    noteProgress();
-    if (!m_passing) {
-        m_held.append(bytes);
-        const bool isTooLong = m_held.size() > m_owner.options.heldAnswer;
+    recordProgress();
+    if (!m_isForwarding) {
+        m_bufferedBody.append(bytes);
+        const bool isTooLong = m_bufferedBody.size() > m_owner.options.maxBufferedAnswer;
         if (isTooLong && !m_exchange->hasBegun()) {
-            m_passing = true;
-            const auto held = std::move(m_held);
-            m_held.clear();
-            passOn(held);
+            m_isForwarding = true;
+            const auto buffered = std::move(m_bufferedBody);
+            m_bufferedBody.clear();
+            forwardBytes(buffered);
         }
         return;
     }
     if (m_events) {
         m_events->feed(bytes);
     } else {
-        passOn(bytes);
+        forwardBytes(bytes);
     }
 }
 
-auto ForwardedRequest::noteProgress() -> void
+auto ForwardedRequest::recordProgress() -> void
 {
-    if (!m_firstAfter) {
-        m_firstAfter = now() - m_exchange->startedAt();
+    if (!m_firstBytesAfter) {
+        m_firstBytesAfter = now() - m_exchange->startedAt();
     } else {
         if (now() - m_lastBytesAt > m_longestPause) {
             m_longestPause = now() - m_lastBytesAt;
@@ -96,7 +96,7 @@
 
 } // namespace
 
-auto ForwardedRequest::passOn(std::string_view bytes) -> void
+auto ForwardedRequest::forwardBytes(std::string_view bytes) -> void
 {
     if (m_finished || bytes.empty()) {
         return;
@@ -109,7 +109,7 @@
             }
         };
     }
-    m_passedBytes += bytes.size();
+    m_forwardedBytes += bytes.size();
     m_exchange->write(bytes);
     if (m_exchange->pendingBytes() > m_owner.options.streamBuffer && m_call) {
         m_call->pause();
@@ -137,19 +137,19 @@
         onNotRun();
         return;
     }
-    ++m_mayHaveRun;
+    ++m_possibleRuns;
     const bool isFailure = m_head.status >= HttpStatus::ServerError || promisesNotRun(m_head.status);
     closeSend(isFailure ? SendResult::Failed : SendResult::Delivered);
-    if (isFailure && !m_passing && mayRunAgain() && maySendAgain()) {
+    if (isFailure && !m_isForwarding && mayRunAgain() && maySendAgain()) {
         sendAgain();
         return;
     }
-    if (!m_passing && m_exchange->hasBegun()) {
+    if (!m_isForwarding && m_exchange->hasBegun()) {
         // The stream had begun at another target, and this one doesn't go on with it: its answer must not look like the stream's end.
         abandon(HttpStatus::BadGateway, "not-resumed");
         return;
     }
-    if (m_passing) {
+    if (m_isForwarding) {
         if (m_events && m_events->hasPartial()) {
             m_events->dropPartial();
             finish(m_head.status, "cut");
@@ -159,15 +159,15 @@
         if (!m_exchange->hasBegun()) {
             m_exchange->begin(m_head.status, answerHeaders(m_head), std::nullopt);
         }
-        noteSuccess();
+        recordSuccess();
         finish(m_head.status, "delivered");
         m_exchange->finish();
         return;
     }
-    passWholeAnswer();
+    forwardWholeAnswer();
 }
 
-auto ForwardedRequest::passWholeAnswer() -> void
+auto ForwardedRequest::forwardWholeAnswer() -> void
 {
     // Of what may have run nobody must say that it didn't.
     if (promisesNotRun(m_head.status)) {
@@ -176,10 +176,10 @@
     }
     const bool isDelivered = HttpStatus::isSuccess(m_head.status);
     if (isDelivered) {
-        noteSuccess();
+        recordSuccess();
     }
     finish(m_head.status, isDelivered ? "delivered" : "target-failed");
-    m_exchange->respond(m_head.status, answerHeaders(m_head), m_held);
+    m_exchange->respond(m_head.status, answerHeaders(m_head), m_bufferedBody);
 }
 
 /// The target says that it did not run the request: it may go elsewhere, whatever its kind.
@@ -195,14 +195,14 @@
         sendAgain();
         return;
     }
-    abandon(m_mayHaveRun > 0 ? HttpStatus::BadGateway : HttpStatus::Unavailable, "not-run");
+    abandon(m_possibleRuns > 0 ? HttpStatus::BadGateway : HttpStatus::Unavailable, "not-run");
 }
 
 auto ForwardedRequest::onFailure(const PooledEnd &end) -> void
 {
     const bool neverSent = end.end == CallEnd::NotSent;
-    const bool hadNoEntry = !m_hasHead && !end.wasReused;
-    closeSend(neverSent ? SendResult::Rejected : hadNoEntry ? SendResult::NoAnswer : SendResult::Failed);
+    const bool hadNoAnswer = !m_hasHead && !end.wasReused;
+    closeSend(neverSent ? SendResult::Rejected : hadNoAnswer ? SendResult::NoAnswer : SendResult::Failed);
     m_owner.parts.log.line("attempt", neverSent ? "not-connected" : "broken")
         .add("id", m_traits.attempt.text())
         .add("target", m_target.text())
@@ -210,10 +210,10 @@
         .add("reused", end.wasReused)
         .add("connection", toString(end.connection))
         .add("head", m_hasHead)
-        .add("passed", static_cast<std::uint64_t>(m_passedBytes));
+        .add("passed", static_cast<std::uint64_t>(m_forwardedBytes));
     if (neverSent) {
         m_connectFailedAt = now();
-        m_owner.noteUnreachable(m_target);
+        m_owner.markUnreachable(m_target);
         attempt();
         return;
     }
@@ -221,8 +221,8 @@
         m_owner.parts.log.line("connections", "dropped-while-idle").add("target", m_target.text()).add("idle", end.idleBefore);
     }
     m_request.excluded.push_back(m_target);
-    ++m_mayHaveRun;
-    noteBreak();
+    ++m_possibleRuns;
+    recordBreak();
     if (m_events) {
         m_events->dropPartial();
     }
@@ -249,7 +249,7 @@
     return !m_owner.crashes.isEmpty() && m_owner.crashes.isBarred(fingerprint(), now());
 }
 
-auto ForwardedRequest::noteBreak() -> void
+auto ForwardedRequest::recordBreak() -> void
 {
     const auto request = fingerprint();
     if (m_owner.crashes.targetBrokeOff(request, m_sentAt, now())) {
@@ -257,7 +257,7 @@
     }
 }
 
-auto ForwardedRequest::noteSuccess() -> void
+auto ForwardedRequest::recordSuccess() -> void
 {
     if (!m_owner.crashes.isEmpty()) {
         m_owner.crashes.succeeded(fingerprint());
@@ -266,12 +266,12 @@
 
 auto ForwardedRequest::mayRunAgain() -> bool
 {
-    return m_route.mayRepeat() && m_mayHaveRun < m_route.attempts && !isBarred();
+    return m_route.mayRepeat() && m_possibleRuns < m_route.attempts && !isBarred();
 }
 
 auto ForwardedRequest::maySendAgain() const -> bool
 {
-    return m_sends < m_owner.options.mostSends && m_owner.budget(m_request.service).remaining(now()) >= 1;
+    return m_sends < m_owner.options.maxSends && m_owner.budget(m_request.service).remaining(now()) >= 1;
 }
 
 auto ForwardedRequest::sendAgain() -> void
--- a/src/gateway/forwardedrequest.cpp
+++ b/src/gateway/forwardedrequest.cpp
@@ -14,32 +14,32 @@
 {
 
 /// Requests wait for a missing model or adapter no longer than this share of their goal; then they are refused while there is time to return.
-constexpr double WaitShare = 0.6;
+constexpr double MaxWaitGoalShare = 0.6;
 /// Requests for a model that is held nowhere wait for so many times its load: a replica is evicted first, and loads share the weight store.
-constexpr double LoadWaits = 1.3;
+constexpr double LoadWaitFactor = 1.3;
 /// Of a request's time, the most that it waits for a model; what is refused then still has time to come back.
-constexpr double MostWaitShare = 0.5;
+constexpr double MaxWaitBudgetShare = 0.5;
 /// Between two words of one request to the gateway that gives orders: the first may have been lost, or there was none yet.
 constexpr auto LoadRequestPeriod = Duration::millis(300);
 /// Some twenty round trips within a region, and longer than a host with a fifth of a core takes to come to it.
-constexpr auto FirstSilenceCheck = Duration::millis(100);
+constexpr auto FirstUnackedCheck = Duration::millis(100);
 /// Longer than the system takes to send a lost packet once more (200 ms at least).
-constexpr auto SecondSilenceCheck = Duration::millis(230);
+constexpr auto SecondUnackedCheck = Duration::millis(230);
 /// Between tries to connect where nobody else can take a request.
-constexpr auto ConnectPause = Duration::millis(150);
+constexpr auto ConnectRetryDelay = Duration::millis(150);
 /// Engines know ten degrees of urgency; the bands lie apart so that those that are late anyway fit behind each.
 constexpr int UrgencyStep = 3;
 constexpr int DemotedStep = 2;
 /// Of a route's goal: where a request would wait for longer at the only target with its adapter, the adapter is asked for on another one.
-constexpr double BusyShare = 0.25;
+constexpr double OverloadBacklogShare = 0.25;
 /// What a stream of some hundred tokens takes after its first: less than that left, and it would be cut off.
-constexpr auto StreamTime = Duration::millis(600);
+constexpr auto MinStreamTime = Duration::millis(600);
 /// An overload of seconds is over by then or isn't over soon; clients come back within a third of the time they have left.
-constexpr auto LongestRetryAfter = Duration::millis(1500);
+constexpr auto MaxRetryAfter = Duration::millis(1500);
 /// Likewise for a request that takes targets down: it is forgotten then.
 constexpr auto BarredRetryAfter = CrashRepeatOptions().lifetime;
 /// The time left that is worth a send: about the quickest answer.
-constexpr auto LeastTime = Duration::millis(10);
+constexpr auto MinSendTime = Duration::millis(10);
 
 } // namespace
 
@@ -95,11 +95,11 @@
     m_waitTimer.cancel();
     if (isBarred()) {
         m_retryAfter = BarredRetryAfter;
-        abandon(m_mayHaveRun > 0 ? HttpStatus::BadGateway : HttpStatus::Unavailable, "takes-targets-down");
+        abandon(m_possibleRuns > 0 ? HttpStatus::BadGateway : HttpStatus::Unavailable, "takes-targets-down");
         return;
     }
-    if (m_deadline - now() < LeastTime) {
-        abandon(m_mayHaveRun > 0 ? HttpStatus::GatewayTimeout : HttpStatus::Unavailable, "no-time-left");
+    if (m_deadline - now() < MinSendTime) {
+        abandon(m_possibleRuns > 0 ? HttpStatus::GatewayTimeout : HttpStatus::Unavailable, "no-time-left");
         return;
     }
     if (!isStillGranted()) {
@@ -110,9 +110,9 @@
         waitOrRefuse(choice.refusal);
         return;
     }
-    if (choice.isLastResort && now() - m_connectFailedAt < ConnectPause) {
+    if (choice.isLastResort && now() - m_connectFailedAt < ConnectRetryDelay) {
         m_isWaiting = true;
-        m_waitTimer = m_owner.parts.loop.after(ConnectPause, [this] { attempt(); });
+        m_waitTimer = m_owner.parts.loop.after(ConnectRetryDelay, [this] { attempt(); });
         return;
     }
     if (!m_request.model.empty() && !admit(choice)) {
@@ -132,13 +132,13 @@
         return true;
     }
     const int status = refusal == AccessRefusal::KeyUnknown ? HttpStatus::Unauthorized : HttpStatus::Unavailable;
-    abandon(m_mayHaveRun > 0 ? HttpStatus::BadGateway : status, toString(refusal));
+    abandon(m_possibleRuns > 0 ? HttpStatus::BadGateway : status, toString(refusal));
     return false;
 }
 
 auto ForwardedRequest::certainlyDidNotRun() const -> bool
 {
-    return m_mayHaveRun == 0 && !(m_call && m_call->wasSent());
+    return m_possibleRuns == 0 && !(m_call && m_call->wasSent());
 }
 
 /// On time if it can be; else after everything that still can, as long as it is answered at all. With all of them in one queue, a
@@ -146,14 +146,14 @@
 auto ForwardedRequest::admit(const DispatchChoice &choice) -> bool
 {
     const auto elapsed = now() - m_exchange->startedAt();
-    if (!m_request.adapter.empty() && choice.candidates == 1 && choice.backlog > m_route.goal * BusyShare) {
+    if (!m_request.adapter.empty() && choice.candidates == 1 && choice.backlog > m_route.goal * OverloadBacklogShare) {
         m_owner.hooks.onOverloaded(m_request.service, m_request.model, m_request.adapter);
     }
     if (elapsed + choice.expectedFirst <= m_route.goal) {
         return true;
     }
     const bool callerStays = m_route.callerGiveUpTime == Duration() || elapsed + choice.expectedIfPatient < m_route.callerGiveUpTime;
-    if (callerStays && choice.expectedIfPatient + StreamTime < m_deadline - now()) {
+    if (callerStays && choice.expectedIfPatient + MinStreamTime < m_deadline - now()) {
         m_isDemoted = true;
         m_request.band = UrgencyBand::Patient;
         return true;
@@ -164,21 +164,21 @@
         .add("expected", choice.expectedFirst)
         .add("if-patient", choice.expectedIfPatient)
         .add("left", m_deadline - now());
-    m_retryAfter = std::clamp(choice.backlog - m_route.goal * WaitShare, DefaultRetryAfter, LongestRetryAfter);
-    abandon(m_mayHaveRun > 0 ? HttpStatus::BadGateway : HttpStatus::Unavailable, "too-late");
+    m_retryAfter = std::clamp(choice.backlog - m_route.goal * MaxWaitGoalShare, DefaultRetryAfter, MaxRetryAfter);
+    abandon(m_possibleRuns > 0 ? HttpStatus::BadGateway : HttpStatus::Unavailable, "too-late");
     return false;
 }
 
 /// For what the request is missing, from its start. A model that is held nowhere is being loaded: its callers are better served late than not at all.
-auto ForwardedRequest::longestWait(DispatchRefusal refusal) const -> Duration
+auto ForwardedRequest::maxWait(DispatchRefusal refusal) const -> Duration
 {
-    const auto usual = m_route.goal * WaitShare;
+    const auto goalWait = m_route.goal * MaxWaitGoalShare;
     if (refusal != DispatchRefusal::NotHeld) {
-        return usual;
+        return goalWait;
     }
-    const auto load = m_owner.parts.dispatcher.loadTime(m_request.service, m_request.model) * LoadWaits;
-    const auto left = (m_deadline - m_exchange->startedAt()) * MostWaitShare;
-    return std::max(usual, std::min(load, left));
+    const auto load = m_owner.parts.dispatcher.loadTime(m_request.service, m_request.model) * LoadWaitFactor;
+    const auto left = (m_deadline - m_exchange->startedAt()) * MaxWaitBudgetShare;
+    return std::max(goalWait, std::min(load, left));
 }
 
 auto ForwardedRequest::waitOrRefuse(DispatchRefusal refusal) -> void
@@ -188,9 +188,9 @@
         m_loadRequestedAt = now();
         m_owner.hooks.onMissing(m_request.service, m_request.model, m_request.adapter);
     }
-    const auto waitUntil = m_exchange->startedAt() + longestWait(refusal);
+    const auto waitUntil = m_exchange->startedAt() + maxWait(refusal);
     if (refusal == DispatchRefusal::AllExcluded || now() >= waitUntil) {
-        abandon(m_mayHaveRun > 0 ? HttpStatus::BadGateway : HttpStatus::Unavailable, toString(refusal));
+        abandon(m_possibleRuns > 0 ? HttpStatus::BadGateway : HttpStatus::Unavailable, toString(refusal));
         return;
     }
     m_isWaiting = true;
@@ -231,8 +231,8 @@
     ++m_sends;
     m_target = choice.target;
     m_hasHead = false;
-    m_passing = false;
-    m_held.clear();
+    m_isForwarding = false;
+    m_bufferedBody.clear();
     m_answerBytes = 0;
     m_sentAt = now();
     m_send = m_owner.parts.dispatcher.sent(m_request, choice.target, now());
@@ -274,12 +274,12 @@
         onEnd(end);
     };
     m_call = m_owner.parts.pool.start(std::move(call));
-    m_silenceTimer = m_owner.parts.loop.after(FirstSilenceCheck, [this] { checkSilence(0); });
+    m_unackedTimer = m_owner.parts.loop.after(FirstUnackedCheck, [this] { checkUnacknowledged(0); });
 }
 
 /// A target that has lost its power or its path answers nothing, and the connection shows it only after seconds. But its system would have
 /// acknowledged what was sent within a round trip: if it doesn't, nobody sends it more, and what may run twice goes elsewhere.
-auto ForwardedRequest::checkSilence(std::size_t unackedBefore) -> void
+auto ForwardedRequest::checkUnacknowledged(std::size_t unackedBefore) -> void
 {
     const auto self = shared_from_this();
     if (!m_call || m_hasHead || !m_call->wasSent()) {
@@ -290,19 +290,19 @@
         return;
     }
     if (unackedBefore == 0 || unacked < unackedBefore) {
-        m_silenceTimer = m_owner.parts.loop.after(SecondSilenceCheck, [this, unacked] { checkSilence(unacked); });
+        m_unackedTimer = m_owner.parts.loop.after(SecondUnackedCheck, [this, unacked] { checkUnacknowledged(unacked); });
         return;
     }
     m_owner.parts.log.line("attempt", "silent")
         .add("id", m_traits.attempt.text())
         .add("target", m_target.text())
         .add("unacked", static_cast<std::uint64_t>(unacked));
-    m_owner.noteUnreachable(m_target);
-    if (m_exchange->hasBegun() || m_mayHaveRun + 1 >= m_route.attempts || !m_route.mayRepeat() || !maySendAgain()) {
+    m_owner.markUnreachable(m_target);
+    if (m_exchange->hasBegun() || m_possibleRuns + 1 >= m_route.attempts || !m_route.mayRepeat() || !maySendAgain()) {
         return;
     }
     std::exchange(m_call, nullptr)->cancel();
-    ++m_mayHaveRun;
+    ++m_possibleRuns;
     closeSend(SendResult::NoAnswer);
     m_request.excluded.push_back(m_target);
     sendAgain();
@@ -346,7 +346,7 @@
 
 auto ForwardedRequest::lateness() const -> const char *
 {
-    const bool isFirstLate = m_firstAfter.value_or(Duration()) > m_route.goal;
+    const bool isFirstLate = m_firstBytesAfter.value_or(Duration()) > m_route.goal;
     const bool hasPaused = m_route.pauseGoal > Duration() && m_longestPause > m_route.pauseGoal;
     if (isFirstLate) {
         return hasPaused ? "both" : "first";
@@ -364,7 +364,7 @@
     m_isWaiting = false;
     m_deadlineTimer.cancel();
     m_waitTimer.cancel();
-    m_silenceTimer.cancel();
+    m_unackedTimer.cancel();
     m_exchange->onGone = nullptr;
     m_exchange->onDrained = nullptr;
     if (m_grant && certainlyDidNotRun()) {
@@ -383,14 +383,14 @@
         .add("target", m_target.text())
         .add("sends", m_sends)
         .add("demoted", m_isDemoted)
-        .add("first", m_firstAfter.value_or(Duration()))
+        .add("first", m_firstBytesAfter.value_or(Duration()))
         .add("longest-pause", m_longestPause)
         .add("pause-ended", m_pauseEndedAfter)
         .add("late", lateness())
         .add("took", took);
     m_owner.parts.metrics.add("requests_total{outcome=\"" + std::string(outcome) + "\"}");
     m_owner.parts.metrics.observe("request_seconds", took.inSeconds());
-    m_owner.flows.erase(shared_from_this());
+    m_owner.requests.erase(shared_from_this());
 }
 
 } // namespace KingCup
--- a/src/gateway/forwardedrequest.h
+++ b/src/gateway/forwardedrequest.h
@@ -38,9 +38,9 @@
     std::map<ServiceName, SharedRetryBudget> budgets;
     SharedRetryBudgetOptions budgetOptions;
     CrashRepeats crashes;
-    int entries = 1;
+    int gatewayCount = 1;
     std::mt19937_64 random;
-    std::unordered_set<std::shared_ptr<ForwardedRequest>> flows;
+    std::unordered_set<std::shared_ptr<ForwardedRequest>> requests;
 
     Private(ForwarderParts forwarderParts, ForwarderOptions forwarderOptions, ForwarderHooks forwarderHooks)
         : parts(forwarderParts)
@@ -53,12 +53,12 @@
     {
         auto [found, isNew] = budgets.try_emplace(service, budgetOptions);
         if (isNew) {
-            found->second.setGatewayCount(entries);
+            found->second.setGatewayCount(gatewayCount);
         }
         return found->second;
     }
     /// Requests don't get through to the target: kept connections to it are as dead.
-    auto noteUnreachable(const TargetId &target) -> void;
+    auto markUnreachable(const TargetId &target) -> void;
     auto answer(const CallerExchangePtr &exchange, const RequestTraits &traits, int status, std::optional<Duration> retryAfter, const char *why) -> void;
     /// Answers the request if its account may not run it.
     auto admit(const CallerExchangePtr &exchange, const RequestTraits &traits) -> std::optional<AccountGrant>;
@@ -89,29 +89,29 @@
     auto isStillGranted() -> bool;
     auto certainlyDidNotRun() const -> bool;
     auto admit(const DispatchChoice &choice) -> bool;
-    auto longestWait(DispatchRefusal refusal) const -> Duration;
+    auto maxWait(DispatchRefusal refusal) const -> Duration;
     auto waitOrRefuse(DispatchRefusal refusal) -> void;
     auto send(const DispatchChoice &choice) -> void;
     auto requestHeaders(const DispatchChoice &choice) const -> HttpHeaders;
-    auto checkSilence(std::size_t unackedBefore) -> void;
+    auto checkUnacknowledged(std::size_t unackedBefore) -> void;
     auto onHead(const HttpHead &head) -> AnswerVerdict;
     auto onBody(std::string_view bytes) -> void;
-    auto noteProgress() -> void;
+    auto recordProgress() -> void;
     auto fingerprint() -> std::uint64_t;
     auto isBarred() -> bool;
-    auto noteBreak() -> void;
-    auto noteSuccess() -> void;
+    auto recordBreak() -> void;
+    auto recordSuccess() -> void;
     auto onEnd(const PooledEnd &end) -> void;
     auto onAnswer() -> void;
     auto onFailure(const PooledEnd &end) -> void;
     auto onNotRun() -> void;
-    auto beginPassing() -> void;
-    auto passOn(std::string_view bytes) -> void;
+    auto beginForwarding() -> void;
+    auto forwardBytes(std::string_view bytes) -> void;
     auto mayRunAgain() -> bool;
     auto maySendAgain() const -> bool;
     auto sendAgain() -> void;
     auto closeSend(SendResult result) -> void;
-    auto passWholeAnswer() -> void;
+    auto forwardWholeAnswer() -> void;
     auto abandon(int status, const char *why) -> void;
     auto onTimeout() -> void;
     auto onGone() -> void;
@@ -131,23 +131,23 @@
     TimePoint m_deadline; ///< the final answer is due
     Timer m_deadlineTimer;
     Timer m_waitTimer;
-    Timer m_silenceTimer;
+    Timer m_unackedTimer;
     std::shared_ptr<PooledHandle> m_call;
     SendId m_send;
     bool m_hasSend = false;
     TimePoint m_sentAt;
     TargetId m_target; ///< of the send in flight
     int m_sends = 0;
-    int m_mayHaveRun = 0; ///< sends that weren't truthfully rejected
+    int m_possibleRuns = 0; ///< sends that weren't truthfully rejected
     HttpHead m_head; ///< of the answer in flight
     AnswerTraits m_answer;
-    std::string m_held; ///< its body, as far as it is kept until it is whole
+    std::string m_bufferedBody; ///< its body, as far as it is kept until it is whole
     bool m_hasHead = false;
-    bool m_passing = false; ///< the body goes to the client as it comes
+    bool m_isForwarding = false; ///< the body goes to the client as it comes
     std::optional<EventCursor> m_events; ///< of a stream that may go on elsewhere
-    std::size_t m_passedBytes = 0;
+    std::size_t m_forwardedBytes = 0;
     std::size_t m_answerBytes = 0; ///< of the send in flight
-    std::optional<Duration> m_firstAfter; ///< from the request's first byte to the answer's
+    std::optional<Duration> m_firstBytesAfter; ///< from the request's first byte to the answer's
     Duration m_longestPause; ///< between pieces of the answer
     Duration m_pauseEndedAfter; ///< when it ended, from the request's first byte
     TimePoint m_lastBytesAt;
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -12,18 +12,18 @@
 {
 
 /// Beyond so many accounts they are counted together: each is a series of its own for whoever scrapes.
-constexpr std::size_t MostAccountsShown = 128;
+constexpr std::size_t MaxAccountSeries = 128;
 /// Below, a client would come back before other gateways' use has been reported.
-constexpr auto LeastLimitRetryAfter = Duration::millis(200);
-constexpr double MostLimitSpread = 2;
+constexpr auto MinLimitRetryAfter = Duration::millis(200);
+constexpr double MaxLimitRetrySpread = 2;
 
 } // namespace
 
-auto Forwarder::Private::noteUnreachable(const TargetId &target) -> void
+auto Forwarder::Private::markUnreachable(const TargetId &target) -> void
 {
     parts.dispatcher.unreachable(target, parts.loop.now());
-    if (const auto *about = parts.dispatcher.description(target)) {
-        parts.pool.closeIdle(about->address);
+    if (const auto *description = parts.dispatcher.description(target)) {
+        parts.pool.closeIdle(description->address);
     }
 }
 
@@ -47,8 +47,8 @@
 
 auto Forwarder::Private::countAccount(const std::string &what, const AccountName &account, double amount) -> void
 {
-    const bool isShown = traffic->accounts.accounts().size() <= MostAccountsShown;
-    parts.metrics.add(what + "{account=\"" + (isShown ? account.text() : "all") + "\"}", amount);
+    const bool hasOwnSeries = traffic->accounts.accounts().size() <= MaxAccountSeries;
+    parts.metrics.add(what + "{account=\"" + (hasOwnSeries ? account.text() : "all") + "\"}", amount);
 }
 
 auto Forwarder::Private::admit(const CallerExchangePtr &exchange, const RequestTraits &traits) -> std::optional<AccountGrant>
@@ -83,8 +83,8 @@
     } else if (decision.refusal == AccessRefusal::OverLimit) {
         status = HttpStatus::TooManyRequests;
         // Callers that come back in the same moment would find the limit used up by the first of them.
-        const double spread = std::uniform_real_distribution<double>(1, MostLimitSpread)(random);
-        retryAfter = std::max(decision.availableIn, LeastLimitRetryAfter) * spread;
+        const double spread = std::uniform_real_distribution<double>(1, MaxLimitRetrySpread)(random);
+        retryAfter = std::max(decision.availableIn, MinLimitRetryAfter) * spread;
         countAccount("account_over_limit_total", decision.account, 1);
     }
     answer(exchange, traits, status, retryAfter, toString(decision.refusal));
@@ -104,7 +104,7 @@
 
 auto Forwarder::open() const -> std::size_t
 {
-    return d->flows.size();
+    return d->requests.size();
 }
 
 auto Forwarder::adopt(std::shared_ptr<const Traffic> traffic) -> void
@@ -121,9 +121,9 @@
     }
 }
 
-auto Forwarder::setEntries(int live) -> void
+auto Forwarder::setGatewayCount(int live) -> void
 {
-    d->entries = live;
+    d->gatewayCount = live;
     for (auto &[service, budget] : d->budgets) {
         budget.setGatewayCount(live);
     }
@@ -159,12 +159,12 @@
         }
     }
     const auto service = pickService(*route, std::uniform_real_distribution<double>(0, 1)(d->random));
-    auto flow = std::make_shared<ForwardedRequest>(*d, exchange, traits, *route, service);
+    auto request = std::make_shared<ForwardedRequest>(*d, exchange, traits, *route, service);
     if (grant) {
-        flow->setGrant(std::move(*grant));
+        request->setGrant(std::move(*grant));
     }
-    d->flows.insert(flow);
-    flow->start();
+    d->requests.insert(request);
+    request->start();
 }
 
 auto Forwarder::crashRepeatReported(std::uint64_t fingerprint, int breaks) -> void
@@ -172,20 +172,20 @@
     d->crashes.reported(fingerprint, breaks, d->parts.loop.now());
 }
 
-auto Forwarder::pump() -> void
+auto Forwarder::retryWaiting() -> void
 {
     d->crashes.expire(d->parts.loop.now());
-    const std::vector<std::shared_ptr<ForwardedRequest>> all(d->flows.begin(), d->flows.end());
-    for (const auto &flow : all) {
-        flow->tryAgain();
+    const std::vector<std::shared_ptr<ForwardedRequest>> all(d->requests.begin(), d->requests.end());
+    for (const auto &request : all) {
+        request->tryAgain();
     }
 }
 
 auto Forwarder::abandonAll() -> int
 {
-    const std::vector<std::shared_ptr<ForwardedRequest>> all(d->flows.begin(), d->flows.end());
-    for (const auto &flow : all) {
-        flow->abandon();
+    const std::vector<std::shared_ptr<ForwardedRequest>> all(d->requests.begin(), d->requests.end());
+    for (const auto &request : all) {
+        request->abandon();
     }
     return static_cast<int>(all.size());
 }
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -57,8 +57,8 @@
 struct ForwarderOptions {
     std::uint64_t seed = 1; ///< of random draws
     std::size_t streamBuffer = 256U << 10U; ///< bytes towards a client before its target is held back
-    std::size_t heldAnswer = 1U << 20U; ///< bytes of a plain answer that are kept until it is whole; longer ones are passed on as they come
-    int mostSends = 4; ///< of one request, rejected ones included
+    std::size_t maxBufferedAnswer = 1U << 20U; ///< bytes of a plain answer that are kept until it is whole; longer ones are passed on as they come
+    int maxSends = 4; ///< of one request, rejected ones included
 };
 
 // [SECTION] Forwarder
@@ -75,10 +75,10 @@
 
     auto adopt(std::shared_ptr<const Traffic> traffic) -> void;
     auto setRetryBudget(const SharedRetryBudgetOptions &options) -> void;
-    auto setEntries(int live) -> void;
+    auto setGatewayCount(int live) -> void;
     auto handle(const CallerExchangePtr &exchange) -> void;
     /// Targets or what they hold have changed: requests that wait for that are tried again.
-    auto pump() -> void;
+    auto retryWaiting() -> void;
     /// Another gateway has seen targets break off while they ran that request.
     auto crashRepeatReported(std::uint64_t fingerprint, int breaks) -> void;
     /// Ends all that is open; returns how many were cut off.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -45,39 +45,39 @@
 /// Before the limit, so that answers that are cut off are cut by us, and said so in the log.
 constexpr auto StopMargin = Duration::millis(500);
 /// Without an answer of the store for so long, what the declared traffic lacks may have been declared meanwhile.
-constexpr auto CurrentWithin = Duration::seconds(2);
+constexpr auto CurrentAfterStoreLoss = Duration::seconds(2);
 /// A prompt's prefill takes some tens of milliseconds: older reports would mislead the choice of the next target.
 constexpr auto DigestPeriod = Duration::millis(200);
 /// Where many gateways exchange digests: between two of them, for each gateway that receives them, and at most. Some hundred a second reach a gateway,
 /// however many there are.
 constexpr auto DigestPeriodPerPeer = Duration::millis(8);
-constexpr auto LongestDigestPeriod = Duration::millis(1000);
+constexpr auto MaxDigestPeriod = Duration::millis(1000);
 /// A peer is silent after this many of the longest periods between its digests.
-constexpr double SilentDigests = 3.5;
+constexpr double SilentAfterPeriods = 3.5;
 /// A prompt that takes longer than this to prefill is announced at once: within a period of digests others would send ten short ones behind it, and
 /// their first tokens would come late though no estimate predicted it.
 constexpr auto LongPrefill = Duration::millis(100);
 constexpr auto LongPrefillDelay = Duration::millis(5); ///< what comes together is announced together
 /// Between two messages on sent prefill, for each gateway that receives them: some hundred a second reach a gateway, however many there are.
 constexpr auto PrefillPeriodPerPeer = Duration::millis(8);
-constexpr auto LongestPrefillPeriod = Duration::millis(200);
+constexpr auto MaxPrefillPeriod = Duration::millis(200);
 /// Few of them die in the seconds that the store may be away, and one is left if two zones are lost.
-constexpr std::size_t MostLeaseCandidates = 4;
+constexpr std::size_t MaxLeaseCandidates = 4;
 /// The settings file may change without a signal; reading it takes less than a millisecond.
 constexpr auto SettingsPeriod = Duration::seconds(5);
 /// Some forty round trips within a region. The system sends a lost opening packet again only after a second: trying elsewhere is quicker.
 constexpr auto TargetConnectTimeout = Duration::millis(150);
 /// No gateway counts a request further than its being barred; what is above comes from a mistake, and must not stay the highest for ever.
-constexpr std::uint32_t MostBreaksReported = 16;
+constexpr std::uint32_t MaxReportedBreaks = 16;
 
 /// Of the bound within which a revoked key must be out of force: the rest is for what the estimate of a proof's age may miss.
-constexpr double ProofShare = 0.9;
+constexpr double ProofLifetimeShare = 0.9;
 /// Without such a bound.
-constexpr auto UsualProofLifetime = Duration::millis(4500);
+constexpr auto DefaultProofLifetime = Duration::millis(4500);
 
 auto digestPeriod(int gateways) -> Duration
 {
-    return std::clamp(DigestPeriodPerPeer * gateways, DigestPeriod, LongestDigestPeriod);
+    return std::clamp(DigestPeriodPerPeer * gateways, DigestPeriod, MaxDigestPeriod);
 }
 
 } // namespace
@@ -114,7 +114,7 @@
     std::unique_ptr<StoreFollower> follower;
     std::unique_ptr<FreshnessTask> freshness;
     std::shared_ptr<const Traffic> traffic;
-    TimePoint storeLostAt;
+    TimePoint storeUnreachableAt;
     std::vector<ListedHost> gateways; ///< registered, this one included
     Timer settingsTimer;
     Timer digestTimer;
@@ -145,12 +145,12 @@
     /// How old a proof may be by which keyed requests are served; 0: none is needed.
     auto proofLifetime() const -> Duration
     {
-        return settings.gateway.revocationLimit * ProofShare;
+        return settings.gateway.revocationLimit * ProofLifetimeShare;
     }
     /// Where none is needed for that, an unknown key is still distinguished from one that was added just now.
     auto usefulProofLifetime() const -> Duration
     {
-        return proofLifetime() > Duration() ? proofLifetime() : UsualProofLifetime;
+        return proofLifetime() > Duration() ? proofLifetime() : DefaultProofLifetime;
     }
     auto build() -> void;
     auto buildPeers() -> void;
@@ -160,8 +160,8 @@
     auto buildPages() -> void;
     auto buildStore() -> void;
     auto onRows(StoreTable table, const std::vector<StoredRow> &rows) -> void;
-    auto onTrouble() -> void;
-    auto adoptRows(const std::vector<StoredRow> &rows) -> void;
+    auto onStoreUnreachable() -> void;
+    auto applyDeclarationRows(const std::vector<StoredRow> &rows) -> void;
     /// False if the document can't be read: what it revokes isn't known.
     auto adoptTraffic(const std::string &document) -> bool;
     auto onMisdirected(const TargetId &target, const TargetId &found, const std::string &model, const std::string &adapter) -> void;
@@ -172,7 +172,7 @@
     {
         return HolderName(settings.process.id + "#" + std::to_string(incarnation));
     }
-    auto everyPeriod() -> void;
+    auto onDigestTimer() -> void;
     auto chooseCandidates() -> void;
     auto isDigestDue() const -> bool;
     auto sendDigest() -> void;
@@ -186,8 +186,8 @@
         return traffic && follower->isLoaded(StoreTable::Targets) && !isLeaving;
     }
     auto applyRetryBudget() -> void;
-    auto reload(bool isAsked) -> void;
-    auto checkLeft() -> void;
+    auto reload(bool isRequested) -> void;
+    auto checkLeaveDone() -> void;
 };
 
 auto Gateway::Private::build() -> void
@@ -199,7 +199,7 @@
     buildPages();
     buildStore();
     settingsTimer = loop.every(SettingsPeriod, [this] { reload(false); });
-    digestTimer = loop.every(DigestPeriod, [this] { everyPeriod(); });
+    digestTimer = loop.every(DigestPeriod, [this] { onDigestTimer(); });
 }
 
 auto Gateway::Private::buildOrders() -> void
@@ -217,8 +217,8 @@
         return work(service);
     };
     hooks.load = [this](const TargetId &target) {
-        const auto *about = dispatcher.description(target);
-        return about == nullptr ? 0.0 : static_cast<double>(dispatcher.running(target, loop.now())) / std::max(about->slots, 1);
+        const auto *description = dispatcher.description(target);
+        return description == nullptr ? 0.0 : static_cast<double>(dispatcher.running(target, loop.now())) / std::max(description->slots, 1);
     };
     hooks.isFailing = [this](const TargetId &target) {
         return dispatcher.isEjected(target, loop.now());
@@ -266,9 +266,9 @@
 
 // [SECTION] Store
 
-auto Gateway::Private::onTrouble() -> void
+auto Gateway::Private::onStoreUnreachable() -> void
 {
-    storeLostAt = loop.now();
+    storeUnreachableAt = loop.now();
     targets->storeUnreachable();
 }
 
@@ -284,7 +284,7 @@
     registrationHooks.onGatewaysChanged = [this](const std::vector<ListedHost> &hosts) {
         gateways = hosts;
         peers->setHosts(hosts);
-        peers->setSilentAfter(std::max(GatewayPeerSettings().silentAfter, digestPeriod(static_cast<int>(hosts.size())) * SilentDigests));
+        peers->setSilentAfter(std::max(GatewayPeerSettings().silentAfter, digestPeriod(static_cast<int>(hosts.size())) * SilentAfterPeriods));
         std::vector<CellMember> members;
         members.reserve(hosts.size());
         for (const auto &host : hosts) {
@@ -308,13 +308,13 @@
         onRows(table, rows);
     };
     hooks.onUnreachable = [this] {
-        onTrouble();
+        onStoreUnreachable();
     };
     StoreFollowerSettings followerSettings;
     followerSettings.id = settings.process.id;
     follower = std::make_unique<StoreFollower>(loop, store, log, *peers, followerSettings, std::move(hooks));
     store.onUnreachable = [this] {
-        onTrouble();
+        onStoreUnreachable();
     };
     FreshnessSettings freshnessSettings;
     freshnessSettings.declarationsKey = protocol.store.trafficKey;
@@ -327,11 +327,11 @@
 {
     switch (table) {
     case StoreTable::Declarations:
-        adoptRows(rows);
+        applyDeclarationRows(rows);
         break;
     case StoreTable::Targets:
         targets->applyRows(rows);
-        forwarder->pump();
+        forwarder->retryWaiting();
         break;
     case StoreTable::Gateways:
         registration->applyRows(rows);
@@ -341,7 +341,7 @@
     }
 }
 
-auto Gateway::Private::adoptRows(const std::vector<StoredRow> &rows) -> void
+auto Gateway::Private::applyDeclarationRows(const std::vector<StoredRow> &rows) -> void
 {
     for (const auto &row : rows) {
         if (row.key == protocol.store.trafficKey && !row.isRemoved) {
@@ -389,7 +389,7 @@
 {
     ForwarderHooks hooks;
     hooks.isTrafficCurrent = [this] {
-        return follower->isCurrent() || loop.now() - storeLostAt < CurrentWithin;
+        return follower->isCurrent() || loop.now() - storeUnreachableAt < CurrentAfterStoreLoss;
     };
     hooks.onMissing = [this](const ServiceName &service, const std::string &model, const std::string &adapter) {
         demand->artifactMissing({service, model, adapter});
@@ -440,21 +440,21 @@
         targets->misdirected(target);
         return;
     }
-    const auto *about = dispatcher.description(target);
-    if (about == nullptr || model.empty()) {
+    const auto *description = dispatcher.description(target);
+    if (description == nullptr || model.empty()) {
         return;
     }
-    auto models = about->models;
-    for (auto &held : models) {
-        if (held.name == model) {
-            std::erase(held.adapters, adapter);
+    auto models = description->models;
+    for (auto &resident : models) {
+        if (resident.name == model) {
+            std::erase(resident.adapters, adapter);
         }
     }
     if (adapter.empty()) {
-        std::erase_if(models, [&](const ResidentModel &held) { return held.name == model; });
+        std::erase_if(models, [&](const ResidentModel &resident) { return resident.name == model; });
     }
     dispatcher.targetHolds(target, models);
-    demand->artifactMissing({about->service, model, adapter});
+    demand->artifactMissing({description->service, model, adapter});
 }
 
 auto Gateway::Private::work(const ServiceName &service) const -> std::map<std::string, ModelWork>
@@ -505,7 +505,7 @@
     dispatcher.targetHolds(target.incarnation.id, target.models);
     if (orders && orders->mayOrder()) {
         peers->sendAll(residencyFrame(target));
-        forwarder->pump();
+        forwarder->retryWaiting();
     }
 }
 
@@ -517,10 +517,10 @@
         return;
     }
     copyUse->reportedResidency(target, models);
-    forwarder->pump();
+    forwarder->retryWaiting();
 }
 
-auto Gateway::Private::everyPeriod() -> void
+auto Gateway::Private::onDigestTimer() -> void
 {
     follower->advance();
     targets->advance();
@@ -530,7 +530,7 @@
     if (isDigestDue()) {
         sendDigest();
     }
-    forwarder->setEntries(peers->liveCount() + 1);
+    forwarder->setGatewayCount(peers->liveCount() + 1);
     if (!orders->mayOrder()) {
         copyUse->report();
     }
@@ -547,7 +547,7 @@
             alive.push_back({EntryId(host.id), host.zone, host.processorShare});
         }
     }
-    orders->lease().setCandidates(chooseLeaseCandidates(std::move(alive), MostLeaseCandidates));
+    orders->lease().setCandidates(chooseLeaseCandidates(std::move(alive), MaxLeaseCandidates));
 }
 
 /// All others depend on the digests of the lease holder and of the store's watchers, and miss them soon.
@@ -601,7 +601,7 @@
         return;
     }
     const auto period = PrefillPeriodPerPeer * peers->liveCount();
-    prefillTimer = loop.after(std::min(period, LongestPrefillPeriod), [this] {
+    prefillTimer = loop.after(std::min(period, MaxPrefillPeriod), [this] {
         Wire::ControlFrame frame;
         writePrefill(dispatcher.takeSentPrefill(), *frame.mutable_sent_prefill());
         peers->sendAll(frame);
@@ -628,7 +628,7 @@
     } else if (frame.has_holding()) {
         onResidencyReport(frame.holding());
     } else if (frame.has_crash_repeat()) {
-        forwarder->crashRepeatReported(frame.crash_repeat().request(), static_cast<int>(std::min(frame.crash_repeat().breaks(), MostBreaksReported)));
+        forwarder->crashRepeatReported(frame.crash_repeat().request(), static_cast<int>(std::min(frame.crash_repeat().breaks(), MaxReportedBreaks)));
     } else if (frame.has_account_usage()) {
         usage->merge(id, frame.account_usage().start(), frame.account_usage());
     } else if (frame.has_freshness_request()) {
@@ -684,7 +684,7 @@
 
 // [SECTION] Leaving
 
-auto Gateway::Private::checkLeft() -> void
+auto Gateway::Private::checkLeaveDone() -> void
 {
     const auto sinceLeave = loop.now() - leavingSince;
     if (sinceLeave > BalancerNoticeTime) {
@@ -714,21 +714,21 @@
     forwarder->setRetryBudget({.window = settings.gateway.retryWindow, .ratio = settings.gateway.retryRatio, .allowance = settings.gateway.retryAllowance});
 }
 
-auto Gateway::Private::reload(bool isAsked) -> void
+auto Gateway::Private::reload(bool isRequested) -> void
 {
-    const auto read = readSettings();
-    for (const auto &finding : read.findings) {
+    const auto newSettings = readSettings();
+    for (const auto &finding : newSettings.findings) {
         log.line("settings", "finding").add("what", toString(finding));
     }
-    if (!read.isValid()) {
+    if (!newSettings.isValid()) {
         return;
     }
-    const bool isChanged = read.value.gateway != settings.gateway || read.value.platform.store != settings.platform.store;
-    if (isAsked || isChanged) {
-        log.line("settings", "reloaded").add("asked", isAsked).add("changed", isChanged);
+    const bool isChanged = newSettings.value.gateway != settings.gateway || newSettings.value.platform.store != settings.platform.store;
+    if (isRequested || isChanged) {
+        log.line("settings", "reloaded").add("asked", isRequested).add("changed", isChanged);
     }
-    settings.gateway = read.value.gateway;
-    settings.platform.store = read.value.platform.store;
+    settings.gateway = newSettings.value.gateway;
+    settings.platform.store = newSettings.value.platform.store;
     store.setServer(settings.platform.store);
     access.setProofLifetime(proofLifetime());
     freshness->setProofLifetime(usefulProofLifetime());
@@ -766,7 +766,7 @@
     d->leavingSince = d->loop.now();
     d->callers->setLeaving();
     d->log.line("process", "leaving").add("open", static_cast<int>(d->callers->openExchanges()));
-    d->leaveCheck = d->loop.every(LeaveCheckPeriod, [this] { d->checkLeft(); });
+    d->leaveCheck = d->loop.every(LeaveCheckPeriod, [this] { d->checkLeaveDone(); });
 }
 
 } // namespace KingCup
--- a/tests/fuzz_callerrequest.cpp
+++ b/tests/fuzz_callerrequest.cpp
@@ -12,7 +12,7 @@
 
 constexpr int Rounds = 20000;
 
-auto declared() -> Declarations
+auto exampleDeclarations() -> Declarations
 {
     Declarations declarations;
     Service advisory;
@@ -78,7 +78,7 @@
 
 TEST_CASE("fuzz: a request is either understood or has a problem that can be sent")
 {
-    const auto declarations = declared();
+    const auto declarations = exampleDeclarations();
     std::mt19937 random(4);
     int understood = 0;
     for (int round = 0; round < Rounds; ++round) {
--- a/tests/harness_gateways.cpp
+++ b/tests/harness_gateways.cpp
@@ -280,27 +280,27 @@
     return "attempt-" + std::to_string(++d->attempts);
 }
 
-auto Site::begin(int gateway, const Ask &ask) -> ReplyPtr
+auto Site::begin(int gateway, const RequestOptions &request) -> ReplyPtr
 {
     PooledCall call;
     call.server = {"127.0.0.1", port(gateway)};
-    call.method = ask.method;
-    call.target = ask.path;
-    call.headers = {{"Host", ask.host}, {"Attempt-Id", ask.attempt.empty() ? freshAttempt() : ask.attempt}};
-    call.headers.push_back({"Deadline-Ms", std::to_string(ask.patienceMillis)});
-    if (!ask.model.empty()) {
-        call.headers.push_back({"Model", ask.model});
-        call.headers.push_back({"Token-Usage", "100," + std::to_string(ask.events)});
+    call.method = request.method;
+    call.target = request.path;
+    call.headers = {{"Host", request.host}, {"Attempt-Id", request.attempt.empty() ? freshAttempt() : request.attempt}};
+    call.headers.push_back({"Deadline-Ms", std::to_string(request.timeBudgetMillis)});
+    if (!request.model.empty()) {
+        call.headers.push_back({"Model", request.model});
+        call.headers.push_back({"Token-Usage", "100," + std::to_string(request.events)});
         call.headers.push_back({"Prompt-Prefix", "ab:60,cd:40"});
     }
-    call.headers.insert(call.headers.end(), ask.headers.begin(), ask.headers.end());
-    call.body = ask.body;
+    call.headers.insert(call.headers.end(), request.headers.begin(), request.headers.end());
+    call.body = request.body;
     return d->start(std::move(call));
 }
 
-auto Site::call(int gateway, const Ask &ask) -> ReplyPtr
+auto Site::call(int gateway, const RequestOptions &request) -> ReplyPtr
 {
-    auto reply = begin(gateway, ask);
+    auto reply = begin(gateway, request);
     d->wait(reply);
     return reply;
 }
--- a/tests/harness_gateways.h
+++ b/tests/harness_gateways.h
@@ -51,13 +51,13 @@
 };
 using ReplyPtr = std::shared_ptr<Reply>;
 
-struct Ask {
+struct RequestOptions {
     std::string path = "/read/x";
     std::string method = "GET";
     std::string attempt; ///< empty: a fresh one
     std::string model; ///< "m1" or "m1/a2"; empty: none
     int events = 3; ///< of a stream
-    int patienceMillis = 3000;
+    int timeBudgetMillis = 3000;
     std::string body;
     std::string host = "site.example";
     HttpHeaders headers; ///< more
@@ -91,8 +91,8 @@
     // Callers. Gateways count from 1.
     auto port(int gateway) const -> int;
     auto isReady(int gateway) -> bool;
-    auto begin(int gateway, const Ask &ask) -> ReplyPtr;
-    auto call(int gateway, const Ask &ask) -> ReplyPtr; ///< and waits for its end
+    auto begin(int gateway, const RequestOptions &request) -> ReplyPtr;
+    auto call(int gateway, const RequestOptions &request) -> ReplyPtr; ///< and waits for its end
     auto stream(int gateway, const std::string &model, int events = 3) -> ReplyPtr; ///< of a chat, whole
     auto freshAttempt() -> std::string;
 
--- a/tests/system_accounts.cpp
+++ b/tests/system_accounts.cpp
@@ -22,7 +22,7 @@
     site.platform({{"part", "operator"}, {"change", "accounts"}, {"accounts", Json(accounts)}});
 }
 
-auto read(const std::string &key, const std::string &attempt = "") -> Ask
+auto read(const std::string &key, const std::string &attempt = "") -> RequestOptions
 {
     return {.path = "/read/x", .attempt = attempt, .headers = {{"Authorization", "Bearer " + key}}};
 }
@@ -41,10 +41,10 @@
     declare(site, {account("asha", {"k-asha"}), account("bilal", {"k-bilal"})});
     waitUntilServed(site, 1, "k-asha");
     const auto attempt = site.freshAttempt();
-    auto ask = read("k-bilal", attempt);
-    ask.headers.push_back({"tenant", "asha"});
-    ask.headers.push_back({"TENANT", "somebody"});
-    CHECK(site.call(1, ask)->status == 200);
+    auto request = read("k-bilal", attempt);
+    request.headers.push_back({"tenant", "asha"});
+    request.headers.push_back({"TENANT", "somebody"});
+    CHECK(site.call(1, request)->status == 200);
     CHECK(site.accountOf(attempt) == "bilal");
     for (const auto &[id, target] : site.truth()["runners"].items()) {
         CHECK(target["keysSeen"] == 0);
--- a/tests/system_gateway.cpp
+++ b/tests/system_gateway.cpp
@@ -11,7 +11,7 @@
 {
 
 /// The runner that works on something; empty if none does.
-auto busyRunner(Site &site) -> std::string
+auto findBusyRunner(Site &site) -> std::string
 {
     const auto truth = site.truth();
     for (const auto &[id, runner] : truth["runners"].items()) {
@@ -130,7 +130,7 @@
     Site site({.gateways = 1, .runners = 4, .instances = 1, .models = 2});
     const auto reply = site.begin(1, {.path = "/tell/x", .method = "POST", .model = "m1", .events = 40, .body = "prompt"});
     site.waitFor("some events", [&] { return reply->events().size() >= 5; });
-    const auto running = busyRunner(site);
+    const auto running = findBusyRunner(site);
     REQUIRE_FALSE(running.empty());
     site.platform({{"part", "runner"}, {"id", running}, {"mode", "crash"}, {"downMs", 1000}});
     site.waitFor("the end", [&] { return reply->done; });
@@ -149,7 +149,7 @@
     Site site({.gateways = 1, .runners = 2, .instances = 1, .models = 1});
     const auto reply = site.begin(1, {.path = "/tell/x", .method = "POST", .model = "m1", .events = 40, .body = "prompt"});
     site.waitFor("some events", [&] { return reply->events().size() >= 3; });
-    const auto running = busyRunner(site);
+    const auto running = findBusyRunner(site);
     const std::string other = running == "r1" ? "r2" : "r1";
     site.platform({{"part", "runner"}, {"id", other}, {"mode", "errors"}});
     site.platform({{"part", "runner"}, {"id", running}, {"mode", "crash"}, {"downMs", 2000}});
@@ -396,7 +396,7 @@
         in >> nanos;
         return nanos / 1e6;
     };
-    const auto measure = [&](const char *what, int count, int atOnce, const std::function<Ask()> &ask) {
+    const auto measure = [&](const char *what, int count, int atOnce, const std::function<RequestOptions()> &ask) {
         const double before = processorMillis();
         std::vector<ReplyPtr> open;
         for (int i = 0; i < count; ++i) {
@@ -414,6 +414,7 @@
     const double idleFrom = processorMillis();
     site.sleep(Duration::seconds(10));
     std::printf("at rest: %.2f ms of processor time a second\n", (processorMillis() - idleFrom) / 10);
-    measure("reads", 4000, 16, [] { return Ask {}; });
-    measure("streams of 50 events", 1000, 16, [] { return Ask {.path = "/chat/x", .method = "POST", .model = "m1", .events = 50, .body = "prompt"}; });
+    measure("reads", 4000, 16, [] { return RequestOptions {}; });
+    measure(
+        "streams of 50 events", 1000, 16, [] { return RequestOptions {.path = "/chat/x", .method = "POST", .model = "m1", .events = 50, .body = "prompt"}; });
 }
--- a/tests/unit_callerserver.cpp
+++ b/tests/unit_callerserver.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr auto Patience = Duration::seconds(8);
+constexpr auto TestTimeout = Duration::seconds(8);
 
-struct Bench {
+struct ServerFixture {
     EventLoop loop;
     std::vector<CallerExchangePtr> seen;
     std::function<void(const CallerExchangePtr &exchange)> answer = [](const CallerExchangePtr &exchange) {
@@ -24,7 +24,7 @@
                              answer(exchange);
                          }};
 
-    Bench()
+    ServerFixture()
     {
         CallerLimits limits;
         limits.headBytes = 2000;
@@ -36,7 +36,7 @@
     auto call(const std::string &bytes) -> RawAnswer
     {
         auto answered = rawCall(server.port(), bytes, RawAfter::Read);
-        REQUIRE(loop.runUntil([&] { return answered.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }, Patience));
+        REQUIRE(loop.runUntil([&] { return answered.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }, TestTimeout));
         return answered.get();
     }
 };
@@ -45,10 +45,10 @@
 
 TEST_CASE("requests on one connection are answered one after the other")
 {
-    Bench bench;
-    const auto answer = bench.call("GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
-                                   "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
-                                   "GET /c HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+    ServerFixture fixture;
+    const auto answer = fixture.call("GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+                                     "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
+                                     "GET /c HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
     CHECK(countOf(answer.text, "HTTP/1.1 200 OK") == 3);
     CHECK(answer.text.find("POST /b hi") != std::string::npos);
     CHECK(answer.text.find("GET /c ") > answer.text.find("POST /b hi"));
@@ -58,36 +58,36 @@
 
 TEST_CASE("what is too large, malformed or too slow is answered as such, and the handler never sees it")
 {
-    Bench bench;
-    CHECK(bench.call("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n").text.starts_with("HTTP/1.1 413"));
-    CHECK(bench.call("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" + std::string(2000, 'x')).text.starts_with("HTTP/1.1 413"));
-    CHECK(bench.call("GET / HTTP/1.1\r\nX: " + std::string(3000, 'x') + "\r\n\r\n").text.starts_with("HTTP/1.1 431"));
-    CHECK(bench.call("what?\r\n\r\n").text.starts_with("HTTP/1.1 400"));
-    CHECK(bench.call("GET / HTTP/1.1\r\nHost").text.starts_with("HTTP/1.1 408"));
-    CHECK(bench.call("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nab").text.starts_with("HTTP/1.1 408"));
-    CHECK(bench.seen.empty());
-    CHECK(bench.server.counts().malformed == 6);
+    ServerFixture fixture;
+    CHECK(fixture.call("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n").text.starts_with("HTTP/1.1 413"));
+    CHECK(fixture.call("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" + std::string(2000, 'x')).text.starts_with("HTTP/1.1 413"));
+    CHECK(fixture.call("GET / HTTP/1.1\r\nX: " + std::string(3000, 'x') + "\r\n\r\n").text.starts_with("HTTP/1.1 431"));
+    CHECK(fixture.call("what?\r\n\r\n").text.starts_with("HTTP/1.1 400"));
+    CHECK(fixture.call("GET / HTTP/1.1\r\nHost").text.starts_with("HTTP/1.1 408"));
+    CHECK(fixture.call("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nab").text.starts_with("HTTP/1.1 408"));
+    CHECK(fixture.seen.empty());
+    CHECK(fixture.server.counts().malformed == 6);
 }
 
 TEST_CASE("an idle connection is closed without an answer")
 {
-    Bench bench;
-    const auto answer = bench.call("");
+    ServerFixture fixture;
+    const auto answer = fixture.call("");
     CHECK(answer.text.empty());
     CHECK(answer.isClosed);
 }
 
 TEST_CASE("a caller that expects to be told to go on is told so")
 {
-    Bench bench;
-    const auto answer = bench.call("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi");
+    ServerFixture fixture;
+    const auto answer = fixture.call("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi");
     CHECK(answer.text.starts_with("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK"));
 }
 
 TEST_CASE("a streamed answer is chunked, and one that is broken off looks cut")
 {
-    Bench bench;
-    bench.answer = [](const CallerExchangePtr &exchange) {
+    ServerFixture fixture;
+    fixture.answer = [](const CallerExchangePtr &exchange) {
         exchange->begin(200, {}, std::nullopt);
         exchange->write("abc");
         exchange->write("de");
@@ -97,38 +97,38 @@
             exchange->abort();
         }
     };
-    CHECK(bench.call("GET /whole HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").text.ends_with("3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"));
-    CHECK_FALSE(bench.call("GET /cut HTTP/1.1\r\nHost: h\r\n\r\n").text.ends_with("0\r\n\r\n"));
+    CHECK(fixture.call("GET /whole HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").text.ends_with("3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"));
+    CHECK_FALSE(fixture.call("GET /cut HTTP/1.1\r\nHost: h\r\n\r\n").text.ends_with("0\r\n\r\n"));
 }
 
 TEST_CASE("a caller that leaves while its answer is due is noticed at once")
 {
     // A client gives up. Unless we notice, its runner goes on working for nobody.
-    Bench bench;
+    ServerFixture fixture;
     bool left = false;
-    bench.answer = [&left](const CallerExchangePtr &exchange) {
+    fixture.answer = [&left](const CallerExchangePtr &exchange) {
         exchange->onGone = [&left] {
             left = true;
         };
     };
-    auto gone = rawCall(bench.server.port(), "GET / HTTP/1.1\r\nHost: h\r\n\r\n", RawAfter::Close);
-    CHECK(bench.loop.runUntil([&] { return left; }, Duration::seconds(2)));
-    CHECK_FALSE(bench.seen.at(0)->isOpen());
-    bench.seen.at(0)->respond(200, {}, "too late"); // does nothing
+    auto gone = rawCall(fixture.server.port(), "GET / HTTP/1.1\r\nHost: h\r\n\r\n", RawAfter::Close);
+    CHECK(fixture.loop.runUntil([&] { return left; }, Duration::seconds(2)));
+    CHECK_FALSE(fixture.seen.at(0)->isOpen());
+    fixture.seen.at(0)->respond(200, {}, "too late"); // does nothing
     gone.get();
 }
 
 TEST_CASE("a process that leaves ends each connection with an answer, and closes idle ones when told to")
 {
-    Bench bench;
-    bench.server.setLeaving();
-    const auto answer = bench.call("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
+    ServerFixture fixture;
+    fixture.server.setLeaving();
+    const auto answer = fixture.call("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
     CHECK(countOf(answer.text, "Connection: close") == 1);
     CHECK(answer.isClosed);
-    auto idle = rawCall(bench.server.port(), "", RawAfter::Read);
-    bench.loop.runUntil([&] { return bench.server.connections() == 1; }, Patience);
-    bench.server.closeIdle();
-    CHECK(bench.server.connections() == 0);
-    bench.server.stopListening();
-    CHECK(bench.loop.runUntil([&] { return idle.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }, Patience));
+    auto idle = rawCall(fixture.server.port(), "", RawAfter::Read);
+    fixture.loop.runUntil([&] { return fixture.server.connections() == 1; }, TestTimeout);
+    fixture.server.closeIdle();
+    CHECK(fixture.server.connections() == 0);
+    fixture.server.stopListening();
+    CHECK(fixture.loop.runUntil([&] { return idle.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }, TestTimeout));
 }
