--- a/src/gateway/callerserver.cpp
+++ b/src/gateway/callerserver.cpp
@@ -1,7 +1,7 @@
 // Index of sections (search for [SECTION]):
-//   Connection   reads requests, writes answers
-//   Exchange     the handler's side of it
-//   Server       accepts, and looks for slow and idle callers
+//   Connection   reads requests and writes answers
+//   Exchange     the handler's view of one request
+//   Server       accepts connections, checks timeouts
 #include "gateway/callerserver.h"
 
 #include "net/httpstatus.h"
@@ -17,9 +17,9 @@
 namespace
 {
 
-constexpr std::size_t MaxReadAheadBytes = 65536; ///< of a request that comes before the answer to the last one
-constexpr auto TimeoutCheckPeriod = Duration::millis(250); ///< between looks for slow and idle callers
-constexpr auto LingerTime = Duration::seconds(1); ///< for a caller to read its last answer before the connection is closed
+constexpr std::size_t MaxReadAheadBytes = 65536; ///< bytes of further requests that are read while one is being answered
+constexpr auto TimeoutCheckPeriod = Duration::millis(250); ///< between checks for slow and idle callers
+constexpr auto LingerTime = Duration::seconds(1); ///< time for a caller to read its last answer before the connection is closed
 
 } // namespace
 
@@ -68,7 +68,7 @@
             m_stream->write(bytes);
         }
     }
-    auto answerFinished() -> void; ///< the exchange's answer was written to its end
+    auto answerFinished() -> void; ///< the exchange has written its whole answer
     auto close() -> void;
     auto checkTimeouts(TimePoint now) -> void;
 
@@ -87,15 +87,15 @@
     std::shared_ptr<CallerServer::Private> m_server;
     std::unique_ptr<TcpStream> m_stream; ///< null once closed
     HttpReader m_reader;
-    std::string m_unparsed; ///< bytes behind the request that is being answered
+    std::string m_unparsed; ///< received bytes that the parser hasn't consumed
     std::string m_body;
-    CallerExchangePtr m_exchange; ///< being answered
-    bool m_closeAfterAnswer = false; ///< the answer under way is the last of this connection
+    CallerExchangePtr m_exchange; ///< the request being answered; null if none is
+    bool m_closeAfterAnswer = false; ///< the connection closes after the current answer
     bool m_bodyTooLarge = false;
     bool m_lingering = false;
-    bool m_isReading = false; ///< within read()
-    TimePoint m_requestStartedAt; ///< of the request being read
-    TimePoint m_lastActivityAt; ///< the last byte read, or the last answer's end
+    bool m_isReading = false; ///< read() is running
+    TimePoint m_requestStartedAt; ///< first byte of the request being read
+    TimePoint m_lastActivityAt; ///< last byte read, or end of the last answer
 };
 
 CallerConnection::CallerConnection(std::shared_ptr<CallerServer::Private> server, std::unique_ptr<TcpStream> stream)
@@ -200,11 +200,11 @@
     m_server->handler(m_exchange);
 }
 
-/// An answer to what can't be handed on as a request. The connection can't be used after it.
+/// Answers a request that is malformed, too large or too slow, without calling the handler. The connection can't be used any more.
 auto CallerConnection::refuse(int status) -> void
 {
     ++m_server->counts.malformed;
-    VLOG(1) << "callers: refused what is no request status=" << status;
+    VLOG(1) << "callers: refused a malformed, too large or too slow request status=" << status;
     write(answerHead(status, {{"Content-Length", "0"}, {"Connection", "close"}}));
     linger();
 }
@@ -224,11 +224,11 @@
     }
     prepareReader();
     if (!m_isReading) {
-        read(); // else the loop there goes on
+        read(); // if read() is running, its loop continues
     }
 }
 
-/// Closed at once with bytes unread, the connection would be reset, and the caller might lose the answer.
+/// Keeps the connection open for a while after the last answer: closing it with unread bytes would reset it, and the caller might lose the answer.
 auto CallerConnection::linger() -> void
 {
     m_lingering = true;
--- a/src/gateway/callerserver.h
+++ b/src/gateway/callerserver.h
@@ -1,10 +1,10 @@
-// Callers' connections: requests in, answers out, byte for byte where it matters. One request at a time on a connection.
+// HTTP/1.1 server for callers' connections. It handles one request at a time on each connection.
 //
-// A caller that hangs up is noticed at once, also while its answer is being waited for: its work is then to be cancelled at the target.
+// A caller that closes its connection is noticed at once, also while its request is in flight, so that the work can be cancelled at the target.
 //
 // Index of sections (search for [SECTION]):
 //   CallerExchange   one request and its answer
-//   CallerServer     the connections
+//   CallerServer     listening socket and connections
 #pragma once
 
 #include "core/traffic.h"
@@ -24,7 +24,7 @@
 
 class CallerConnection;
 
-/// Shared by the server and whoever answers; after the caller has left, writes do nothing.
+/// Shared by the server and the code that answers the request. After the caller has left, writes have no effect.
 class CallerExchange
 {
 public:
@@ -33,21 +33,21 @@
     auto head() const -> const HttpHead &;
     auto body() const -> const std::string &;
     auto startedAt() const -> TimePoint; ///< when the request's first byte was read
-    auto isOpen() const -> bool; ///< the caller is there and its answer isn't finished
-    auto hasBegun() const -> bool; ///< the status line was given
-    auto pendingBytes() const -> std::size_t; ///< written, not yet taken by the system
+    auto isOpen() const -> bool; ///< the caller is connected and its answer isn't finished
+    auto hasBegun() const -> bool; ///< the answer's status line was written
+    auto pendingBytes() const -> std::size_t; ///< written, and not yet accepted by the socket
 
-    /// The whole answer at once. Adds content-length.
+    /// Writes a complete answer. Adds Content-Length.
     auto respond(int status, HttpHeaders headers, std::string_view body) -> void;
-    /// A streamed answer: begin, any number of writes, finish. Without a length it is chunked.
+    /// Writes a streamed answer: begin(), any number of write(), finish(). Without `length`, it is chunked.
     auto begin(int status, HttpHeaders headers, std::optional<std::uint64_t> length) -> void;
     auto write(std::string_view bytes) -> void;
     auto finish() -> void;
-    /// Closes the connection without the end of the answer: the caller can tell that it isn't whole.
+    /// Closes the connection before the end of the answer: the caller can tell that the answer is incomplete.
     auto abort() -> void;
 
-    std::function<void()> onGone; ///< the caller left before the answer was finished; the last hook
-    std::function<void()> onDrained; ///< pendingBytes() came down to 0
+    std::function<void()> onGone; ///< the caller left before the answer was finished; no hook is called after it
+    std::function<void()> onDrained; ///< pendingBytes() has reached 0
 
 private:
     friend class CallerConnection;
@@ -67,8 +67,8 @@
 // [SECTION] CallerServer
 
 struct CallerServerCounts {
-    std::uint64_t accepted = 0; ///< connections
-    std::uint64_t malformed = 0; ///< requests that were not HTTP, too large or too slow; answered without the handler
+    std::uint64_t accepted = 0; ///< connections accepted
+    std::uint64_t malformed = 0; ///< requests that were malformed, too large or too slow; answered without calling the handler
 };
 
 class CallerServer
@@ -76,7 +76,7 @@
 public:
     using Handler = std::function<void(const CallerExchangePtr &exchange)>;
 
-    /// Listens at once; throws std::runtime_error if the port is taken.
+    /// Starts to listen; throws std::runtime_error if the port is taken.
     CallerServer(EventLoop &loop, const Endpoint &listen, Handler handler);
     ~CallerServer();
     CallerServer(const CallerServer &) = delete;
@@ -88,10 +88,10 @@
     auto counts() const -> const CallerServerCounts &;
 
     auto setLimits(const CallerLimits &limits) -> void;
-    /// From now on each answer is the last one of its connection.
+    /// From now on, each connection is closed after its next answer.
     auto setLeaving() -> void;
     auto stopListening() -> void;
-    /// Closes connections on which no request has begun.
+    /// Closes connections that wait for a request.
     auto closeIdle() -> void;
 
     struct Private;
--- a/src/gateway/forwardedanswer.cpp
+++ b/src/gateway/forwardedanswer.cpp
@@ -1,4 +1,4 @@
-// What comes back from a target: a whole answer, a stream, a refusal, or a break; and whether the request goes on elsewhere.
+// Handles what a target returns: a complete answer, a stream, a refusal or a broken connection; and decides whether the request is resent.
 #include "gateway/forwardedrequest.h"
 
 #include "net/httpstatus.h"
@@ -29,7 +29,7 @@
     return AnswerVerdict::Take;
 }
 
-/// The status and headers go to the client with the first bytes: a stream that breaks before any can still be sent elsewhere.
+/// Status and headers go to the client with the first bytes of the body: a stream that breaks before them can still be sent to another target.
 auto ForwardedRequest::beginForwarding() -> void
 {
     m_isForwarding = true;
@@ -81,7 +81,7 @@
 namespace
 {
 
-/// The target's headers, without those of its connection.
+/// The target's headers without Content-Length and hop-by-hop headers.
 auto answerHeaders(const HttpHead &head) -> HttpHeaders
 {
     HttpHeaders headers;
@@ -130,7 +130,7 @@
     }
 }
 
-/// A whole answer has come.
+/// Called when the answer is complete.
 auto ForwardedRequest::onAnswer() -> void
 {
     if (m_answer.isNotRun) {
@@ -145,7 +145,7 @@
         return;
     }
     if (!m_isForwarding && m_exchange->hasBegun()) {
-        // The stream had begun at another target, and this one doesn't go on with it: its answer must not look like the stream's end.
+        // The stream began at another target and this one doesn't resume it: its answer must not look like the end of the stream.
         abandon(HttpStatus::BadGateway, "not-resumed");
         return;
     }
@@ -169,7 +169,7 @@
 
 auto ForwardedRequest::forwardWholeAnswer() -> void
 {
-    // Of what may have run nobody must say that it didn't.
+    // The request may have run, so the client must not get a status that says it didn't.
     if (promisesNotRun(m_head.status)) {
         abandon(HttpStatus::BadGateway, "target-failed");
         return;
@@ -182,7 +182,7 @@
     m_exchange->respond(m_head.status, answerHeaders(m_head), m_bufferedBody);
 }
 
-/// The target says that it did not run the request: it may go elsewhere, whatever its kind.
+/// The target states that it did not run the request, so any request may be sent to another target, also one that must not run twice.
 auto ForwardedRequest::onNotRun() -> void
 {
     closeSend(SendResult::Rejected);
@@ -234,7 +234,7 @@
     abandon(HttpStatus::BadGateway, "target-broke-off");
 }
 
-/// Made once, and only if it is asked for: it goes over the whole body, and waiting requests are looked at several times a second.
+/// Computed once and only on demand: it hashes the whole body, and waiting requests are checked several times a second.
 auto ForwardedRequest::fingerprint() -> std::uint64_t
 {
     if (!m_fingerprint) {
--- a/src/gateway/forwardedrequest.cpp
+++ b/src/gateway/forwardedrequest.cpp
@@ -1,5 +1,5 @@
 // Index of sections (search for [SECTION]):
-//   Sending    choosing a target and starting the call
+//   Sending    choice of a target, waiting, start of the call
 //   Ending     final answers
 #include "gateway/forwardedrequest.h"
 
@@ -13,32 +13,35 @@
 namespace
 {
 
-/// Requests wait for a missing model or adapter no longer than this share of their goal; then they are refused while there is time to return.
+/// Requests that no target can take wait no longer than this share of their goal. Then they are refused, while the client still has time to retry.
 constexpr double MaxWaitGoalShare = 0.6;
-/// Requests for a model that is held nowhere wait for so many times its load: a replica is evicted first, and loads share the weight store.
+/// Requests for a model that no target holds wait for up to this multiple of its load time: another replica is evicted first, and concurrent loads
+/// share the weight store.
 constexpr double LoadWaitFactor = 1.3;
-/// Of a request's time, the most that it waits for a model; what is refused then still has time to come back.
+/// Upper limit of that wait, as a share of the request's time budget: a client that is refused then still has time to retry.
 constexpr double MaxWaitBudgetShare = 0.5;
-/// Between two words of one request to the gateway that gives orders: the first may have been lost, or there was none yet.
+/// Period at which a waiting request asks the lease holder for its model again: the last message may have been lost, or there was no holder yet.
 constexpr auto LoadRequestPeriod = Duration::millis(300);
-/// Some twenty round trips within a region, and longer than a host with a fifth of a core takes to come to it.
+/// From a send to the first check for unacknowledged bytes: about twenty round trips within a region, and longer than a host with a fifth of a core
+/// takes to acknowledge.
 constexpr auto FirstUnackedCheck = Duration::millis(100);
-/// Longer than the system takes to send a lost packet once more (200 ms at least).
+/// From the first check to the second one: longer than the kernel takes to retransmit a lost packet (at least 200 ms).
 constexpr auto SecondUnackedCheck = Duration::millis(230);
-/// Between tries to connect where nobody else can take a request.
+/// Pause between attempts to connect if no other target can take the request.
 constexpr auto ConnectRetryDelay = Duration::millis(150);
-/// Engines know ten degrees of urgency; the bands lie apart so that those that are late anyway fit behind each.
+/// Engines have ten urgency levels, 0 first. The bands are this far apart so that each has a level behind it for demoted requests.
 constexpr int UrgencyStep = 3;
 constexpr int DemotedStep = 2;
-/// Of a route's goal: where a request would wait for longer at the only target with its adapter, the adapter is asked for on another one.
+/// Share of a route's goal. If the backlog at the only target with an adapter takes longer, the adapter is requested on another target.
 constexpr double OverloadBacklogShare = 0.25;
-/// What a stream of some hundred tokens takes after its first: less than that left, and it would be cut off.
+/// Duration of a stream of about a hundred tokens after its first one. With less time left, it would be cut off.
 constexpr auto MinStreamTime = Duration::millis(600);
-/// An overload of seconds is over by then or isn't over soon; clients come back within a third of the time they have left.
+/// Longest Retry-After of overload: an overload that lasts seconds is over by then, or won't be over soon. Clients come back within a third of the time that
+/// they have left.
 constexpr auto MaxRetryAfter = Duration::millis(1500);
-/// Likewise for a request that takes targets down: it is forgotten then.
+/// Retry-After of a request that crashes targets: its record has expired by then.
 constexpr auto BarredRetryAfter = CrashRepeatOptions().lifetime;
-/// The time left that is worth a send: about the quickest answer.
+/// A request with less time left isn't sent: the quickest answers take about as long.
 constexpr auto MinSendTime = Duration::millis(10);
 
 } // namespace
@@ -121,7 +124,7 @@
     send(choice);
 }
 
-/// Checked before each send: the key may have been revoked while the request waited or ran elsewhere, or this host was suspended.
+/// Checked before each send: the key may have been revoked while the request waited or ran on another target, or while this host was suspended.
 auto ForwardedRequest::isStillGranted() -> bool
 {
     if (!m_grant) {
@@ -141,8 +144,9 @@
     return m_possibleRuns == 0 && !(m_call && m_call->wasSent());
 }
 
-/// On time if it can be; else after everything that still can, as long as it is answered at all. With all of them in one queue, a
-/// runner that is asked for half more than it can do would soon answer every request late, and its streams would stall behind the reading.
+/// Admits the request if it can meet its goal. Otherwise demotes it behind all requests that still can, provided that it would be answered before its
+/// caller gives up and before its deadline; else refuses it. If all of them shared one queue, a runner with half more load than it can handle would
+/// soon answer every request late, and its streams would stall behind prefill.
 auto ForwardedRequest::admit(const DispatchChoice &choice) -> bool
 {
     const auto elapsed = now() - m_exchange->startedAt();
@@ -169,7 +173,8 @@
     return false;
 }
 
-/// For what the request is missing, from its start. A model that is held nowhere is being loaded: its callers are better served late than not at all.
+/// How long a request waits for a target, counted from its start. A model that no target holds is being loaded: its callers are better served late
+/// than not at all.
 auto ForwardedRequest::maxWait(DispatchRefusal refusal) const -> Duration
 {
     const auto goalWait = m_route.goal * MaxWaitGoalShare;
@@ -262,7 +267,7 @@
     call.body = m_exchange->body();
     call.reuseWithin = m_route.mayRepeat() ? Duration::seconds(60) : m_owner.parts.reuse.limit(now());
     if (choice.isLastResort) {
-        call.reuseWithin = Duration(); // whether a new connection is accepted shows without a risk
+        call.reuseWithin = Duration(); // a failed connect shows that the target is down before the request is sent
     }
     call.onHead = [this](const HttpHead &head) {
         return onHead(head);
@@ -277,8 +282,9 @@
     m_unackedTimer = m_owner.parts.loop.after(FirstUnackedCheck, [this] { checkUnacknowledged(0); });
 }
 
-/// A target that has lost its power or its path answers nothing, and the connection shows it only after seconds. But its system would have
-/// acknowledged what was sent within a round trip: if it doesn't, nobody sends it more, and what may run twice goes elsewhere.
+/// Detects a target that has lost its power or its network path. It answers nothing, and the connection fails only after seconds; but the kernel of a
+/// live host acknowledges sent bytes within a round trip. If they stay unacknowledged, the target is marked as unreachable, and a request that may run
+/// twice is resent to another target.
 auto ForwardedRequest::checkUnacknowledged(std::size_t unackedBefore) -> void
 {
     const auto self = shared_from_this();
@@ -354,7 +360,7 @@
     return hasPaused ? "pause" : "no";
 }
 
-/// Nothing of the request is left here after this; its answer is the caller's of this function to write.
+/// Ends the request: cancels its timers and its call, logs it and removes it from the forwarder. Writing the answer is left to the calling function.
 auto ForwardedRequest::finish(int status, const char *outcome) -> void
 {
     if (m_finished) {
--- a/src/gateway/forwardedrequest.h
+++ b/src/gateway/forwardedrequest.h
@@ -1,9 +1,9 @@
-// One request on its way through a gateway: from the choice of a target to the last byte of its answer, over as many sends as its kind and the
-// retry budget allow. Inner part of the forwarder.
+// One request that a gateway forwards: from the choice of a target to the last byte of the answer, with as many sends as its route and the
+// retry budget allow. Internal to the forwarder.
 //
 // Index of sections (search for [SECTION]):
-//   State             the forwarder's own, shared by its requests
-//   ForwardedRequest  the state of one
+//   State             state that all requests of the forwarder share
+//   ForwardedRequest  one request
 #pragma once
 
 #include "core/crashrepeats.h"
@@ -19,10 +19,10 @@
 namespace KingCup
 {
 
-/// Retry-After of a client where nothing better is known: long enough for a change of membership to arrive.
+/// Retry-After where no better estimate is known: long enough for a change of membership to arrive.
 constexpr auto DefaultRetryAfter = Duration::millis(300);
 
-/// Statuses that promise that the request did not run.
+/// Whether a client may conclude from the status that its request did not run.
 auto promisesNotRun(int status) -> bool;
 
 // [SECTION] State
@@ -57,10 +57,11 @@
         }
         return found->second;
     }
-    /// Requests don't get through to the target: kept connections to it are as dead.
+    /// Reports to the dispatcher that requests don't reach the target, and closes the idle connections to it, which are broken as well.
     auto markUnreachable(const TargetId &target) -> void;
+    /// Answers a request that isn't forwarded, and logs why.
     auto answer(const CallerExchangePtr &exchange, const RequestTraits &traits, int status, std::optional<Duration> retryAfter, const char *why) -> void;
-    /// Answers the request if its account may not run it.
+    /// Charges the request to its account. If the account may not run it, answers it and returns nothing.
     auto admit(const CallerExchangePtr &exchange, const RequestTraits &traits) -> std::optional<AccountGrant>;
     auto reject(const CallerExchangePtr &exchange, const RequestTraits &traits, const AccessDecision &decision) -> void;
     auto countAccount(const std::string &what, const AccountName &account, double amount) -> void;
@@ -68,13 +69,13 @@
 
 // [SECTION] ForwardedRequest
 
-/// One request.
+/// Held by shared_ptr so that callbacks can keep the request alive while they run. It ends exactly once, in finish().
 class ForwardedRequest : public std::enable_shared_from_this<ForwardedRequest>
 {
 public:
     ForwardedRequest(Forwarder::Private &owner, CallerExchangePtr exchange, RequestTraits traits, Route route, ServiceName service);
 
-    auto setGrant(AccountGrant grant) -> void; ///< before start(); without one the request is nobody's
+    auto setGrant(AccountGrant grant) -> void; ///< call before start(); without a grant the request belongs to no account
 
     auto start() -> void;
     auto isWaiting() const -> bool
@@ -115,7 +116,7 @@
     auto abandon(int status, const char *why) -> void;
     auto onTimeout() -> void;
     auto onGone() -> void;
-    auto lateness() const -> const char *; ///< which aims of its route the answer missed: its first bytes, a pause, both, or none
+    auto lateness() const -> const char *; ///< which goals of the route the answer missed: "first" bytes, "pause", "both", or "no"
     auto finish(int status, const char *outcome) -> void;
     auto now() const -> TimePoint
     {
@@ -128,7 +129,7 @@
     Route m_route;
     DispatchRequest m_request;
     std::optional<AccountGrant> m_grant;
-    TimePoint m_deadline; ///< the final answer is due
+    TimePoint m_deadline; ///< when the final answer is due
     Timer m_deadlineTimer;
     Timer m_waitTimer;
     Timer m_unackedTimer;
@@ -136,25 +137,25 @@
     SendId m_send;
     bool m_hasSend = false;
     TimePoint m_sentAt;
-    TargetId m_target; ///< of the send in flight
+    TargetId m_target; ///< of the latest send
     int m_sends = 0;
-    int m_possibleRuns = 0; ///< sends that weren't truthfully rejected
-    HttpHead m_head; ///< of the answer in flight
+    int m_possibleRuns = 0; ///< ended sends whose request may have run
+    HttpHead m_head; ///< of the latest answer
     AnswerTraits m_answer;
-    std::string m_bufferedBody; ///< its body, as far as it is kept until it is whole
+    std::string m_bufferedBody; ///< its body, where it is kept until it is complete
     bool m_hasHead = false;
-    bool m_isForwarding = false; ///< the body goes to the client as it comes
-    std::optional<EventCursor> m_events; ///< of a stream that may go on elsewhere
-    std::size_t m_forwardedBytes = 0;
-    std::size_t m_answerBytes = 0; ///< of the send in flight
-    std::optional<Duration> m_firstBytesAfter; ///< from the request's first byte to the answer's
-    Duration m_longestPause; ///< between pieces of the answer
-    Duration m_pauseEndedAfter; ///< when it ended, from the request's first byte
+    bool m_isForwarding = false; ///< the body goes to the client as it arrives
+    std::optional<EventCursor> m_events; ///< set for a stream that another target may resume
+    std::size_t m_forwardedBytes = 0; ///< over all sends
+    std::size_t m_answerBytes = 0; ///< of the latest send
+    std::optional<Duration> m_firstBytesAfter; ///< from the request's first byte to the first bytes of the answer's body
+    Duration m_longestPause; ///< between two pieces of the answer's body
+    Duration m_pauseEndedAfter; ///< from the request's first byte to the end of the longest pause
     TimePoint m_lastBytesAt;
     bool m_isWaiting = false;
     TimePoint m_loadRequestedAt;
     TimePoint m_connectFailedAt;
-    bool m_isDemoted = false; ///< too late to be on time: after all that still can be
+    bool m_isDemoted = false; ///< expected to miss its goal: runs after all requests that can still meet theirs
     Duration m_retryAfter = DefaultRetryAfter;
     std::optional<std::uint64_t> m_fingerprint;
     bool m_finished = false;
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-/// Beyond so many accounts they are counted together: each is a series of its own for whoever scrapes.
+/// With more accounts, all are counted in one series: each account is a time series of its own in the metrics.
 constexpr std::size_t MaxAccountSeries = 128;
-/// Below, a client would come back before other gateways' use has been reported.
+/// With a shorter time, a client would come back before the other gateways have reported their usage.
 constexpr auto MinLimitRetryAfter = Duration::millis(200);
-constexpr double MaxLimitRetrySpread = 2;
+constexpr double MaxLimitRetrySpread = 2; ///< upper bound of the random factor on Retry-After
 
 } // namespace
 
@@ -82,7 +82,7 @@
         retryAfter = DefaultRetryAfter;
     } else if (decision.refusal == AccessRefusal::OverLimit) {
         status = HttpStatus::TooManyRequests;
-        // Callers that come back in the same moment would find the limit used up by the first of them.
+        // If all callers came back at the same moment, the first of them would use up the limit.
         const double spread = std::uniform_real_distribution<double>(1, MaxLimitRetrySpread)(random);
         retryAfter = std::max(decision.availableIn, MinLimitRetryAfter) * spread;
         countAccount("account_over_limit_total", decision.account, 1);
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -1,11 +1,11 @@
-// The way of each request through an entry that reaches targets directly: understood, routed, sent, sent again where that is safe, answered.
+// Forwards callers' requests to targets: parses each request, routes and sends it, resends it where that is safe, and answers it.
 //
-// What was sent without an answer may have run, so only two things lead to another send: the target's own statement that it did not run the
-// request, or a request that may run more than once. Where neither holds and no answer came, the client gets 502 or 504, which
-// promise nothing; 503 is said only of a request that certainly did not run.
+// A request that was sent and not answered may have run. It is resent only if the target states that it did not run it, or if its route allows
+// that it runs more than once. If neither holds and no answer came, the client gets 502 or 504, which leave open whether it ran; 503 is used only
+// for a request that certainly did not run.
 //
 // Index of sections (search for [SECTION]):
-//   Parts      what the forwarder uses
+//   Parts      dependencies, hooks and options
 //   Forwarder  the requests in flight
 #pragma once
 
@@ -29,7 +29,7 @@
 
 // [SECTION] Parts
 
-/// Owned by the gateway; they outlive the forwarder.
+/// Dependencies of the forwarder. The gateway owns them, and they outlive the forwarder.
 struct ForwarderParts {
     EventLoop &loop;
     const Protocol &protocol;
@@ -42,23 +42,25 @@
 };
 
 struct ForwarderHooks {
-    std::function<bool()> isTrafficCurrent; ///< the declared traffic was confirmed lately, so what it lacks isn't there
-    std::function<void(const ServiceName &service, const std::string &model, const std::string &adapter)> onMissing; ///< no target holds it
-    /// Another target has that address, or this one lacks the model or adapter. `found`: who answered; empty if it didn't say.
+    std::function<bool()> isTrafficCurrent; ///< the declared traffic was confirmed recently: a route that it lacks doesn't exist
+    /// No target holds the model, or none that holds it has the adapter.
+    std::function<void(const ServiceName &service, const std::string &model, const std::string &adapter)> onMissing;
+    /// A target refused a request because another target has its address now, or because it lacks the model or adapter. `found` is the target that
+    /// answered; empty if the answer doesn't name it.
     std::function<void(const TargetId &target, const TargetId &found, const std::string &model, const std::string &adapter)> onMisdirected;
-    /// The only target with the adapter is too busy.
+    /// The only target with the adapter has too long a backlog.
     std::function<void(const ServiceName &service, const std::string &model, const std::string &adapter)> onOverloaded;
-    std::function<void(const DispatchRequest &request)> onRequest; ///< once for each
-    std::function<void(const AccountName &account)> onAdmitted; ///< charged to it
+    std::function<void(const DispatchRequest &request)> onRequest; ///< called once for each request
+    std::function<void(const AccountName &account)> onAdmitted; ///< a request was charged to the account
     std::function<void(const TargetId &target, const DispatchRequest &request, SendId send)> onSent;
-    std::function<void(std::uint64_t fingerprint, int breaks)> onCrashRepeat; ///< other gateways are to know it
+    std::function<void(std::uint64_t fingerprint, int breaks)> onCrashRepeat; ///< a break of this request was counted: tell the other gateways
 };
 
 struct ForwarderOptions {
-    std::uint64_t seed = 1; ///< of random draws
-    std::size_t streamBuffer = 256U << 10U; ///< bytes towards a client before its target is held back
-    std::size_t maxBufferedAnswer = 1U << 20U; ///< bytes of a plain answer that are kept until it is whole; longer ones are passed on as they come
-    int maxSends = 4; ///< of one request, rejected ones included
+    std::uint64_t seed = 1; ///< of the random number generator
+    std::size_t streamBuffer = 256U << 10U; ///< bytes pending towards a client above which reading from its target is paused
+    std::size_t maxBufferedAnswer = 1U << 20U; ///< bytes of an answer kept until it is complete; longer ones are forwarded as they arrive
+    int maxSends = 4; ///< per request, including rejected ones
 };
 
 // [SECTION] Forwarder
@@ -71,17 +73,17 @@
     Forwarder(const Forwarder &) = delete;
     auto operator=(const Forwarder &) -> Forwarder & = delete;
 
-    auto open() const -> std::size_t; ///< requests without a final answer
+    auto open() const -> std::size_t; ///< number of requests without a final answer
 
     auto adopt(std::shared_ptr<const Traffic> traffic) -> void;
     auto setRetryBudget(const SharedRetryBudgetOptions &options) -> void;
-    auto setGatewayCount(int live) -> void;
+    auto setGatewayCount(int live) -> void; ///< live gateways, which share the retry budgets; this one included
     auto handle(const CallerExchangePtr &exchange) -> void;
-    /// Targets or what they hold have changed: requests that wait for that are tried again.
+    /// Tries waiting requests again. Call it when targets, or the models that they hold, have changed.
     auto retryWaiting() -> void;
-    /// Another gateway has seen targets break off while they ran that request.
+    /// Another gateway has counted `breaks` targets that broke off while they ran the request.
     auto crashRepeatReported(std::uint64_t fingerprint, int breaks) -> void;
-    /// Ends all that is open; returns how many were cut off.
+    /// Ends all open requests; returns how many were cut off.
     auto abandonAll() -> int;
 
     struct Private;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,11 +1,11 @@
 // Index of sections (search for [SECTION]):
 //   Parts     the tasks and how they are connected
-//   Store     declarations, targets and gateways
+//   Store     rows of declarations, targets and gateways
 //   Requests  hooks of the forwarder
-//   Peers     digests to and from other gateways
-//   Pages     readiness and metrics
+//   Peers     messages to and from other gateways
+//   Pages     HTTP servers for callers, readiness and metrics
 //   Leaving   planned stops
-//   Settings  read again
+//   Settings  reloads
 #include "gateway/gateway.h"
 
 #include "core/hashing.h"
@@ -39,40 +39,40 @@
 {
 
 constexpr int ExitCutOff = 1;
-/// Whoever sends us new connections looks once a second and believes the second miss.
+/// Load balancers check readiness once a second and take a gateway out after the second failed check.
 constexpr auto BalancerNoticeTime = Duration::millis(2500);
 constexpr auto LeaveCheckPeriod = Duration::millis(50);
-/// Before the limit, so that answers that are cut off are cut by us, and said so in the log.
+/// How long before the stop limit the remaining requests are ended, so that the gateway itself cuts them off and logs it.
 constexpr auto StopMargin = Duration::millis(500);
-/// Without an answer of the store for so long, what the declared traffic lacks may have been declared meanwhile.
+/// How long the declared traffic counts as current after the loss of the store. Later, a route that it lacks may have been declared meanwhile.
 constexpr auto CurrentAfterStoreLoss = Duration::seconds(2);
-/// A prompt's prefill takes some tens of milliseconds: older reports would mislead the choice of the next target.
+/// Prefill of a prompt takes some tens of milliseconds: older load reports would mislead the choice of the next target.
 constexpr auto DigestPeriod = Duration::millis(200);
-/// Where many gateways exchange digests: between two of them, for each gateway that receives them, and at most. Some hundred a second reach a gateway,
-/// however many there are.
+/// Where many gateways exchange digests, the period grows by this much for each receiver, up to the maximum below. About a hundred digests a second
+/// reach each gateway, however many gateways there are.
 constexpr auto DigestPeriodPerPeer = Duration::millis(8);
 constexpr auto MaxDigestPeriod = Duration::millis(1000);
-/// A peer is silent after this many of the longest periods between its digests.
+/// Number of digest periods without a message after which a peer counts as silent.
 constexpr double SilentAfterPeriods = 3.5;
-/// A prompt that takes longer than this to prefill is announced at once: within a period of digests others would send ten short ones behind it, and
-/// their first tokens would come late though no estimate predicted it.
+/// A prompt that takes longer than this to prefill is announced before the next digest: within a digest period, other gateways would queue ten short
+/// prompts behind it, and their first tokens would be late although no estimate predicted it.
 constexpr auto LongPrefill = Duration::millis(100);
-constexpr auto LongPrefillDelay = Duration::millis(5); ///< what comes together is announced together
-/// Between two messages on sent prefill, for each gateway that receives them: some hundred a second reach a gateway, however many there are.
+constexpr auto LongPrefillDelay = Duration::millis(5); ///< batches prompts that arrive together
+/// Period of messages on sent prefill, for each receiver: about a hundred a second reach each gateway, however many gateways there are.
 constexpr auto PrefillPeriodPerPeer = Duration::millis(8);
 constexpr auto MaxPrefillPeriod = Duration::millis(200);
-/// Few of them die in the seconds that the store may be away, and one is left if two zones are lost.
+/// Few candidates fail within the seconds that the store may be unreachable, and one is left if two zones are lost.
 constexpr std::size_t MaxLeaseCandidates = 4;
 /// The settings file may change without a signal; reading it takes less than a millisecond.
 constexpr auto SettingsPeriod = Duration::seconds(5);
-/// Some forty round trips within a region. The system sends a lost opening packet again only after a second: trying elsewhere is quicker.
+/// About forty round trips within a region. The kernel retransmits a lost SYN only after a second: trying another target is quicker.
 constexpr auto TargetConnectTimeout = Duration::millis(150);
-/// No gateway counts a request further than its being barred; what is above comes from a mistake, and must not stay the highest for ever.
+/// Cap for counts that peers report. Gateways stop counting once a request is barred; a higher count is an error and must not stay the maximum for ever.
 constexpr std::uint32_t MaxReportedBreaks = 16;
 
-/// Of the bound within which a revoked key must be out of force: the rest is for what the estimate of a proof's age may miss.
+/// Lifetime of a proof, as a share of the time limit for key revocations. The rest covers the error of the estimate of a proof's age.
 constexpr double ProofLifetimeShare = 0.9;
-/// Without such a bound.
+/// Used if revocations have no time limit.
 constexpr auto DefaultProofLifetime = Duration::millis(4500);
 
 auto digestPeriod(int gateways) -> Duration
@@ -115,7 +115,7 @@
     std::unique_ptr<FreshnessTask> freshness;
     std::shared_ptr<const Traffic> traffic;
     TimePoint storeUnreachableAt;
-    std::vector<ListedHost> gateways; ///< registered, this one included
+    std::vector<ListedHost> gateways; ///< registered gateways, including this one
     Timer settingsTimer;
     Timer digestTimer;
     Timer longPrefillTimer;
@@ -142,12 +142,13 @@
         , store(loop, storePool, protocol.store, {.server = settings.platform.store})
     {
     }
-    /// How old a proof may be by which keyed requests are served; 0: none is needed.
+    /// Maximum age of the proof (that the declarations are the newest) by which keyed requests are served; 0: no proof is needed.
     auto proofLifetime() const -> Duration
     {
         return settings.gateway.revocationLimit * ProofLifetimeShare;
     }
-    /// Where none is needed for that, an unknown key is still distinguished from one that was added just now.
+    /// Maximum age of the proofs that the freshness task maintains. Even if serving needs none, a proof distinguishes an unknown key from one that was
+    /// added just now.
     auto usefulProofLifetime() const -> Duration
     {
         return proofLifetime() > Duration() ? proofLifetime() : DefaultProofLifetime;
@@ -162,12 +163,12 @@
     auto onRows(StoreTable table, const std::vector<StoredRow> &rows) -> void;
     auto onStoreUnreachable() -> void;
     auto applyDeclarationRows(const std::vector<StoredRow> &rows) -> void;
-    /// False if the document can't be read: what it revokes isn't known.
+    /// False if the document can't be decoded: the keys that it revokes aren't known.
     auto adoptTraffic(const std::string &document) -> bool;
     auto onMisdirected(const TargetId &target, const TargetId &found, const std::string &model, const std::string &adapter) -> void;
     auto onResidency(const TargetDescription &target) -> void;
     auto work(const ServiceName &service) const -> std::map<std::string, ModelWork>;
-    /// This start of this process, as digests and the order lease name it.
+    /// Name of this incarnation of the process in digests and in the order lease.
     auto selfName() const -> HolderName
     {
         return HolderName(settings.process.id + "#" + std::to_string(incarnation));
@@ -230,7 +231,7 @@
         copyUse->setMoves(moves);
     };
     hooks.estimatedStreams = [this](const CopyKey &copy) {
-        // Clients are spread over the gateways: the others have about as many as this one.
+        // Clients are spread evenly over the gateways, so the others have about as many streams as this one.
         return static_cast<double>(dispatcher.ownRunning(copy.first, copy.second)) * (peers->liveCount() + 1);
     };
     hooks.drainingStreams = [this] {
@@ -337,7 +338,7 @@
         registration->applyRows(rows);
         break;
     case StoreTable::Leases:
-        break; // not followed
+        break; // the follower doesn't watch this table
     }
 }
 
@@ -358,7 +359,7 @@
     for (const auto &finding : decoded.findings) {
         log.line("config", "finding").add("what", toString(finding));
     }
-    // Never back: an answer that was under way while a newer one came must not undo it.
+    // Versions only go up: a late answer must not replace a newer document that has come in the meantime.
     if (decoded.value.version <= (traffic ? traffic->version : TrafficVersion())) {
         return decoded.value.version > TrafficVersion();
     }
@@ -499,7 +500,7 @@
     usage = std::make_unique<UsageExchange>(UsageExchangeParts {loop, *peers, access.usage()}, selfName().text());
 }
 
-/// Known here before the runner's row says so, and announced to those who can't know it yet.
+/// Applies a change of a runner's models at once, before its row in the store shows it, and announces it to the other gateways.
 auto Gateway::Private::onResidency(const TargetDescription &target) -> void
 {
     dispatcher.targetHolds(target.incarnation.id, target.models);
@@ -537,7 +538,7 @@
     demand->advance();
 }
 
-/// Who may succeed this gateway as lease holder.
+/// Chooses the gateways that may succeed this one as lease holder.
 auto Gateway::Private::chooseCandidates() -> void
 {
     const auto live = peers->live();
@@ -550,7 +551,7 @@
     orders->lease().setCandidates(chooseLeaseCandidates(std::move(alive), MaxLeaseCandidates));
 }
 
-/// All others depend on the digests of the lease holder and of the store's watchers, and miss them soon.
+/// The lease holder and the store watchers send a digest in every period: all other gateways depend on them and react soon to missing ones.
 auto Gateway::Private::isDigestDue() const -> bool
 {
     const bool isAwaited = orders->mayOrder() || follower->isWatching();
@@ -566,7 +567,7 @@
     digest->set_sequence(++digests);
     digest->set_traffic_version(traffic ? traffic->version.value() : 0);
     if (loads->isDirect()) {
-        digest->mutable_work(); // without rows: nothing under way
+        digest->mutable_work(); // sets the field even if there are no rows: no work in flight
         writeWork(dispatcher.takeDigest(EntryId(settings.process.id), loop.now()), *digest);
     }
     targets->writeLeaving(*digest);
@@ -584,7 +585,7 @@
     peers->sendAll(frame);
 }
 
-/// Publishes this gateway's load before the next period.
+/// Publishes this gateway's load at once instead of in the next period.
 auto Gateway::Private::publishLoad() -> void
 {
     if (loads->isDirect()) {
@@ -594,7 +595,8 @@
     }
 }
 
-/// Prompts that come together at one target stall its streams: gateways that don't know of each other's last ones send them to the same target.
+/// Announces the prompts sent last. Prompts that arrive together at one target stall its streams, and gateways that don't know of each other's latest
+/// prompts send them to the same target.
 auto Gateway::Private::publishPrefillSoon() -> void
 {
     if (prefillTimer.isActive()) {
@@ -688,7 +690,7 @@
 {
     const auto sinceLeave = loop.now() - leavingSince;
     if (sinceLeave > BalancerNoticeTime) {
-        // Nobody sends us new connections any more; on one that is kept, a request could still come when there is no time left for it.
+        // Load balancers send no new connections any more. On an idle one, a request could still come when there is no time left for it.
         callers->stopListening();
         callers->closeIdle();
     }
@@ -698,8 +700,8 @@
         return;
     }
     leaveCheck.cancel();
-    // Not before: until another gateway has waited a whole lease, nobody else loads adapters or models, and in a rolling restart the next holder would
-    // be drained as soon as it has begun.
+    // The lease is kept until here: after a release, no gateway loads adapters or models until the next holder has waited a whole lease, and in a
+    // rolling restart that holder would be drained as soon as it has begun.
     orders->stop();
     cutOff = forwarder->abandonAll();
     log.line("process", "stopped").add("cut-off", cutOff);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,8 +1,8 @@
-// A gateway: an entry process where targets have no agents beside them. It takes callers' requests and sends them straight to the targets,
-// follows the operators' declarations and the targets' rows in the deployment's store, and, if it holds the lease, gives runners their
-// orders.
+// A gateway: the process that accepts callers' requests where targets have no agents beside them. It sends requests directly to the targets,
+// follows the operators' declarations and the targets' rows in the deployment's store, and gives runners their orders while it holds the order
+// lease.
 //
-// Nothing that it keeps outlives it: what must last is in the store, and a new process has read it within a few calls.
+// A gateway keeps all its state in memory. What must survive it is in the store, which a new process reads with a few calls.
 #pragma once
 
 #include "gateway/protocol.h"
@@ -18,10 +18,10 @@
 class Gateway
 {
 public:
-    /// Reads the settings file once more.
+    /// Reads the settings file again.
     using ReadSettings = std::function<Checked<DaemonSettings>()>;
 
-    /// Starts at once; throws std::runtime_error if a port is taken.
+    /// Starts serving in the constructor; throws std::runtime_error if a port is taken.
     Gateway(EventLoop &loop, DaemonSettings settings, Protocol protocol, ReadSettings readSettings);
     ~Gateway();
     Gateway(const Gateway &) = delete;
@@ -29,10 +29,12 @@
 
     auto exitCode() const -> int; ///< 1 if requests were cut off
 
-    /// Takes over what may change while it runs: the limits of [gateway] and the store's address. Findings are logged, and nothing is changed
-    /// then. Called at SIGHUP, and by itself every few seconds, since the file may change without a signal.
+    /// Reads the settings again and applies those that may change at run time: section [gateway] and the store's address. If the file is invalid,
+    /// the findings are logged and nothing changes. Called at SIGHUP; the gateway also reads the file every few seconds by itself, since it may
+    /// change without a signal.
     auto reload() -> void;
-    /// A planned stop: takes no new connections, finishes what is under way, then stops the loop.
+    /// Planned stop: reports not ready, accepts connections until load balancers have noticed, finishes the requests in flight up to the stop limit,
+    /// then stops the loop.
     auto leave() -> void;
 
     struct Private;
--- a/src/gateway/pooledcall.h
+++ b/src/gateway/pooledcall.h
@@ -1,4 +1,4 @@
-// Calls of a gateway's own, to the store and to runners: a text that the deployment's adapter has made, and an answer that is kept whole.
+// Calls that a gateway makes itself, to the store and to runners: the platform adapter has encoded the request, and the answer is collected whole.
 #pragma once
 
 #include "gateway/protocol.h"
@@ -10,13 +10,13 @@
 namespace KingCup
 {
 
-/// An answer as far as it has come.
+/// Status and body received so far.
 struct CollectedAnswer {
     int status = 0;
     std::string body;
 };
 
-/// The call, but for its onEnd; its answer is gathered in `into`.
+/// Builds a call that collects its answer in `into`. The caller sets onEnd.
 auto collectingCall(const Endpoint &server, EncodedCall text, const std::shared_ptr<CollectedAnswer> &into) -> PooledCall;
 
 } // namespace KingCup
--- a/tests/fuzz_callerrequest.cpp
+++ b/tests/fuzz_callerrequest.cpp
@@ -1,4 +1,4 @@
-// What an entry must bear from callers: requests that are nearly right. Bounded in number, seeded, so that every run is the same.
+// Fuzz test of parsing callers' requests: valid requests with random damage. The number of rounds and the seed are fixed, so every run is the same.
 #include "entry/callerrequest.h"
 
 #include <catch2/catch.hpp>
@@ -76,7 +76,7 @@
 
 } // namespace
 
-TEST_CASE("fuzz: a request is either understood or has a problem that can be sent")
+TEST_CASE("fuzz: a request is either parsed or yields a problem that can be sent as an answer")
 {
     const auto declarations = exampleDeclarations();
     std::mt19937 random(4);
--- a/tests/harness_gateways.cpp
+++ b/tests/harness_gateways.cpp
@@ -33,7 +33,7 @@
     int ready = 0;
     int peers = 0;
     int metrics = 0;
-    int store = 0; ///< of the proxy's link to the store
+    int store = 0; ///< the proxy's link to the store
 };
 
 } // namespace
@@ -60,7 +60,7 @@
     TemporaryFolder folder;
     std::map<std::string, std::unique_ptr<ChildProcess>> processes;
     std::map<std::string, GatewayPorts> ports;
-    std::map<std::string, int> unread; ///< outputs that nobody reads, by gateway
+    std::map<std::string, int> unread; ///< pipes of the gateways' outputs, by gateway id
     int adminPort = 0;
     std::uint64_t attempts = 0;
     int uncaughtBefore = std::uncaught_exceptions();
@@ -160,7 +160,7 @@
         ports = reply->status == 200 ? Json::parse(reply->body) : Json();
         return ports.is_object();
     };
-    waitFor("the stand-ins", areUp);
+    waitFor("the fakes", areUp);
     const int storePort = ports["platform"]["store"];
     for (int i = 1; i <= options.gateways; ++i) {
         const auto id = "gw-" + std::to_string(i);
@@ -186,7 +186,7 @@
     if (std::uncaught_exceptions() == d->uncaughtBefore) {
         return;
     }
-    // Logs are written a few times a second: what led to the failure may not be in them yet.
+    // Logs are flushed a few times a second: the lines about the failure may not be written yet.
     d->loop.runUntil([] { return false; }, Duration::millis(200));
     for (const auto &[id, process] : d->processes) {
         if (d->unread.contains(id)) {
@@ -230,7 +230,7 @@
     if (d->options.unreadLog) {
         constexpr int OwnerOnly = 0600;
         ::mkfifo(log.c_str(), OwnerOnly);
-        d->unread[id] = ::open(log.c_str(), O_RDWR | O_NONBLOCK | O_CLOEXEC); // also a writer: opening it waits for nobody
+        d->unread[id] = ::open(log.c_str(), O_RDWR | O_NONBLOCK | O_CLOEXEC); // O_RDWR: open() doesn't wait for a writer
         REQUIRE(d->unread[id] >= 0);
     }
     d->processes[id] = std::make_unique<ChildProcess>(std::vector<std::string> {binary("kingcupd"), "--settings", settingsFile(id)}, log);
--- a/tests/harness_gateways.h
+++ b/tests/harness_gateways.h
@@ -1,9 +1,9 @@
-// A small deployment of real processes for a test: the stand-ins of the users' platform in one, and gateways, which reach the store through
-// the fault proxy (links "store:gw-1", ...).
+// A small deployment of real processes for system tests: one process with the fakes of the users' platform, and gateways that reach the fake store
+// through a fault proxy (links "store:gw-1", ...).
 //
 // Index of sections (search for [SECTION]):
-//   Options   size
-//   Reply     a caller's call and its answer
+//   Options   size of the deployment
+//   Reply     a caller's request and its answer
 //   Site      the processes
 #pragma once
 
@@ -30,13 +30,13 @@
     int runners = 3;
     int instances = 2;
     int models = 3;
-    int revocationMillis = 0; ///< within which a revoked key is out of force; 0: no limit
-    bool unreadLog = false; ///< the gateways' output is a pipe, which nobody reads until readLog()
+    int revocationMillis = 0; ///< time limit within which a revoked key must stop working; 0: no limit
+    bool unreadLog = false; ///< the gateways' output is a pipe that is read only by readLog()
 };
 
 // [SECTION] Reply
 
-/// One call and what has come back so far.
+/// The answer received so far, and the handle of its call.
 struct Reply {
     bool done = false;
     CallEnd end = CallEnd::Broken;
@@ -45,22 +45,23 @@
     std::string body;
     std::shared_ptr<PooledHandle> handle;
 
-    auto header(const std::string &name) const -> std::string; ///< in any case; empty if absent
-    auto events() const -> std::vector<std::string>; ///< of a stream: the data of each whole event
-    auto isWhole() const -> bool; ///< a success, to its end
+    auto header(const std::string &name) const -> std::string; ///< the name is case-insensitive; empty if absent
+    auto events() const -> std::vector<std::string>; ///< the data of each complete event of a stream
+    auto isWhole() const -> bool; ///< status 200, received completely
 };
 using ReplyPtr = std::shared_ptr<Reply>;
 
+/// A request to a gateway.
 struct RequestOptions {
     std::string path = "/read/x";
     std::string method = "GET";
-    std::string attempt; ///< empty: a fresh one
+    std::string attempt; ///< empty: a new one is made
     std::string model; ///< "m1" or "m1/a2"; empty: none
-    int events = 3; ///< of a stream
+    int events = 3; ///< number of events of a stream
     int timeBudgetMillis = 3000;
     std::string body;
     std::string host = "site.example";
-    HttpHeaders headers; ///< more
+    HttpHeaders headers; ///< additional ones
 };
 
 // [SECTION] Site
@@ -68,8 +69,8 @@
 class Site
 {
 public:
-    /// Starts all processes and waits until every gateway is ready. Ends them when it goes; prints the last lines of their logs if a test
-    /// is failing then.
+    /// Starts all processes and waits until every gateway is ready. The destructor ends them, and prints the last lines of their logs if the test
+    /// has failed.
     explicit Site(SiteOptions options = {});
     ~Site();
     Site(const Site &) = delete;
@@ -85,23 +86,23 @@
     auto start(const std::string &id) -> void;
     auto waitForExit(const std::string &id, Duration limit = Duration::seconds(20)) -> int;
     auto settingsFile(const std::string &id) const -> std::string;
-    /// What a gateway's unread output holds now; more may follow.
+    /// Reads what the pipe of a gateway's output holds now (SiteOptions::unreadLog); more may follow.
     auto readLog(const std::string &id) -> std::string;
 
-    // Callers. Gateways count from 1.
+    // Callers. Gateways are numbered from 1.
     auto port(int gateway) const -> int;
     auto isReady(int gateway) -> bool;
     auto begin(int gateway, const RequestOptions &request) -> ReplyPtr;
-    auto call(int gateway, const RequestOptions &request) -> ReplyPtr; ///< and waits for its end
-    auto stream(int gateway, const std::string &model, int events = 3) -> ReplyPtr; ///< of a chat, whole
+    auto call(int gateway, const RequestOptions &request) -> ReplyPtr; ///< begin(), and waits for the end
+    auto stream(int gateway, const std::string &model, int events = 3) -> ReplyPtr; ///< calls for a chat stream and waits for its end
     auto freshAttempt() -> std::string;
 
-    // The stand-ins.
-    auto platform(const Json &command) -> void; ///< see fakes/platformsite.h
-    auto link(const std::string &name, const std::string &mode) -> void; ///< a fault of a link, or "heal"
-    auto truth() -> Json;
-    auto runsOf(const std::string &attempt) -> int;
-    auto accountOf(const std::string &attempt) -> std::string; ///< that the targets were given; empty: none
+    // Fakes.
+    auto platform(const Json &command) -> void; ///< a command to the fake platform, see fakes/platformsite.h
+    auto link(const std::string &name, const std::string &mode) -> void; ///< injects a fault into a link of the proxy; "heal" ends it
+    auto truth() -> Json; ///< the fake platform's whole state
+    auto runsOf(const std::string &attempt) -> int; ///< how many times targets ran the request
+    auto accountOf(const std::string &attempt) -> std::string; ///< the account that the targets were given; empty: none
 
     struct Private;
 
--- a/tests/system_accounts.cpp
+++ b/tests/system_accounts.cpp
@@ -1,4 +1,4 @@
-// Gateways as real processes: keys of client accounts, and what a gateway may still serve that is cut off from the store or from everything.
+// System tests of client accounts with gateways as real processes: keys, limits, and what a gateway may serve without the store or its peers.
 #include "tests/harness_gateways.h"
 
 #include <catch2/catch.hpp>
@@ -34,9 +34,9 @@
 
 } // namespace
 
-TEST_CASE("a key names the account that the target is given, and is never passed on itself")
+TEST_CASE("the target is given the account of the key, and never the key itself")
 {
-    // Guards against requests that run under a name of the caller's choice, and against keys that leak to targets.
+    // Guards against requests that run under an account name chosen by the caller, and against keys that leak to targets.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1});
     declare(site, {account("asha", {"k-asha"}), account("bilal", {"k-bilal"})});
     waitUntilServed(site, 1, "k-asha");
@@ -56,7 +56,7 @@
 
 TEST_CASE("a missing, malformed or unknown key is answered 401 and runs nothing")
 {
-    // Guards against keys that are guessed or left out.
+    // Guards against requests that run with a guessed key or without one.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1, .revocationMillis = RevocationMillis});
     declare(site, {account("asha", {"k-asha"})});
     waitUntilServed(site, 1, "k-asha");
@@ -77,16 +77,16 @@
     }
 }
 
-TEST_CASE("a revoked key is out of force on every gateway, also on one that the store rejects")
+TEST_CASE("a revoked key stops working on every gateway, also on one that can't reach the store")
 {
-    // Guards against a gateway that goes on serving by old declarations because it can't read new ones itself.
+    // Guards against a gateway that goes on serving with outdated declarations because it can't read the new ones itself.
     Site site({.gateways = 2, .runners = 1, .instances = 1, .models = 1, .revocationMillis = RevocationMillis});
     declare(site, {account("asha", {"k-old", "k-new"})});
     waitUntilServed(site, 1, "k-old");
     waitUntilServed(site, 2, "k-old");
     site.link("store:gw-2", "freeze");
     site.sleep(RevocationLimit * 2);
-    CHECK(site.call(2, read("k-old"))->status == 200); // its peer proves for it
+    CHECK(site.call(2, read("k-old"))->status == 200); // its peer gives it proofs
     declare(site, {account("asha", {"k-new"})});
     site.sleep(RevocationLimit);
     for (int gateway = 1; gateway <= 2; ++gateway) {
@@ -95,9 +95,9 @@
     }
 }
 
-TEST_CASE("a gateway that is cut off from everything rejects keyed requests, and serves them again afterwards")
+TEST_CASE("a gateway without store and peers rejects keyed requests, and serves them again afterwards")
 {
-    // Guards against a revoked key that works for as long as a gateway doesn't learn of the revocation.
+    // Guards against a revoked key that keeps working while the gateway can't learn of the revocation.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1, .revocationMillis = RevocationMillis});
     declare(site, {account("asha", {"k-asha"})});
     waitUntilServed(site, 1, "k-asha");
@@ -115,7 +115,7 @@
 
 TEST_CASE("a gateway that was suspended rejects keyed requests until its declarations are proven again")
 {
-    // Guards against requests that are read after a long pause and run by what was in force before it.
+    // Guards against requests that are read after a long suspension and admitted by the declarations in force before it.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1, .revocationMillis = RevocationMillis});
     declare(site, {account("asha", {"k-asha"})});
     waitUntilServed(site, 1, "k-asha");
@@ -131,14 +131,14 @@
     CHECK(site.runsOf(attempt) == 0);
 }
 
-TEST_CASE("an account over its limit is answered 429 with the time at which it has enough again")
+TEST_CASE("an account over its limit is answered 429 with the time after which it has enough again")
 {
     // Guards against limits that each gateway applies by itself: two of them would allow twice as much.
     Site site({.gateways = 2, .runners = 1, .instances = 1, .models = 1});
     declare(site, {account("asha", {"k-asha"}), account("bilal", {"k-bilal"}, 200, 1000)});
     waitUntilServed(site, 1, "k-asha");
     waitUntilServed(site, 2, "k-asha");
-    site.sleep(Duration::millis(6500)); // until what the account may use has been learnt and filled up
+    site.sleep(Duration::millis(6500)); // until the account's limit is known and its budget has filled up
     int served = 0;
     int rejected = 0;
     for (int i = 0; i < 30; ++i) {
@@ -151,7 +151,7 @@
         CHECK(site.call(1 + i % 2, read("k-asha"))->status == 200);
     }
     CHECK(served >= 10);
-    CHECK(served <= 18); // a burst of 10, what the rate adds in the meantime, and what one gateway hasn't reported yet
+    CHECK(served <= 18); // a burst of 10, what the rate adds meanwhile, and usage that one gateway hasn't reported yet
     CHECK(served + rejected == 30);
     CHECK(site.call(1, read("k-other"))->status == 401); // also where revocation has no limit
 }
--- a/tests/system_gateway.cpp
+++ b/tests/system_gateway.cpp
@@ -1,4 +1,4 @@
-// Gateways as real processes on the stand-ins of the users' platform: requests of every kind, and what may go wrong around them.
+// System tests of gateways as real processes on fakes of the users' platform: requests of every kind, and faults of targets, store and gateways.
 #include "tests/harness_gateways.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// The runner that works on something; empty if none does.
+/// The runner with a running request; empty if there is none.
 auto findBusyRunner(Site &site) -> std::string
 {
     const auto truth = site.truth();
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("a calm day: requests of every kind come back whole, from every gateway")
+TEST_CASE("without faults, requests of every kind are answered completely by every gateway")
 {
     Site site;
     for (int gateway = 1; gateway <= 2; ++gateway) {
@@ -46,13 +46,13 @@
     CHECK(site.truth()["overfull"] == 0);
 }
 
-TEST_CASE("an adapter that no runner holds is loaded when it is asked for, also by a gateway that gives no orders")
+TEST_CASE("an adapter that no runner holds is loaded when it is requested, also through a gateway that gives no orders")
 {
-    // Also right after the start, when no gateway gives orders yet: told to nobody, the word of the first request was lost, and its caller was
-    // refused after half a second although the adapter could have been there; the same happened during each takeover.
+    // Guards against lost load requests right after the start and during a takeover, when no gateway gives orders: the first request's message
+    // reached nobody, and its caller was refused after half a second although the adapter could have been loaded by then.
     Site site;
     for (int gateway = 1; gateway <= 2; ++gateway) {
-        // The first request of each adapter waits for its load; there are more adapters than places for them.
+        // The first request of each adapter waits for its load; there are more adapters than adapter slots.
         for (int adapter = 1; adapter <= 3; ++adapter) {
             const auto reply = site.stream(gateway, "m1/a" + std::to_string(adapter));
             INFO("gateway " << gateway << " adapter " << adapter << " status " << reply->status << " " << reply->body);
@@ -63,13 +63,13 @@
     CHECK(site.truth()["overfull"] == 0);
 }
 
-TEST_CASE("what is no proper request gets a clear answer, and nothing runs")
+TEST_CASE("an invalid request gets a definite error status, and nothing runs")
 {
-    // A caller's program is broken. It must be told so at once, and no other caller may notice.
+    // Guards against a faulty client that gets no answer at once, or that affects other callers.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1});
     CHECK(site.call(1, {.path = "/nowhere/x"})->status == 404);
     CHECK(site.call(1, {.path = "/read/x", .host = "other.example"})->status == 404);
-    CHECK(site.call(1, {.path = "/read/x", .headers = {{"Deadline-Ms", "soon"}}})->status == 200); // the first of two counts
+    CHECK(site.call(1, {.path = "/read/x", .headers = {{"Deadline-Ms", "soon"}}})->status == 200); // the first of two headers is used
     const std::string big(70000, 'x');
     const auto tooLarge = site.call(1, {.path = "/write/x", .method = "POST", .body = big});
     CHECK(tooLarge->status == 413);
@@ -77,10 +77,10 @@
     CHECK(site.call(1, {.path = "/read/y"})->status == 200);
 }
 
-TEST_CASE("a runner that dies: what may repeat goes elsewhere, what may not is never told as not run")
+TEST_CASE("a target crashes: repeatable requests are resent, and others that may have run are never reported as not run")
 {
-    // A runner's process crashes while it works. Its lookups are answered by another instance. A debit that was under way may have been
-    // made: the clerk must not be told that it wasn't.
+    // An instance crashes with requests in flight. Reads are answered by another instance. A write in flight may have run, so its client must not
+    // get a status that says it didn't.
     Site site;
     const auto write = site.freshAttempt();
     std::vector<ReplyPtr> writes;
@@ -103,9 +103,9 @@
     }
 }
 
-TEST_CASE("a request that crashes each runner costs three of them, whichever gateway it comes to")
+TEST_CASE("a request that crashes each target is run at most three times over all gateways")
 {
-    // A client repeats one request, and each runner that begins it crashes. Sent on each time, it would keep the service down for everybody.
+    // A client repeats one request, and each target that starts it crashes. If it were sent each time, the whole service would stay down.
     Site site;
     for (const auto *id : {"p1", "p2"}) {
         site.platform({{"part", "runner"}, {"id", id}, {"mode", "crash-on"}, {"body", "deadly"}});
@@ -124,9 +124,9 @@
     CHECK(site.call(1, {.path = "/read/x"})->status == 200);
 }
 
-TEST_CASE("a stream that may be resumed goes on at another runner, whole and in order")
+TEST_CASE("a resumable stream continues at another runner, complete and in order")
 {
-    // The only runner of a model dies amid a stream; another one has the model. The reader sees one stream, no event missing or twice.
+    // The runner crashes in the middle of a stream, and another one that has the model resumes it. The client must see each event exactly once.
     Site site({.gateways = 1, .runners = 4, .instances = 1, .models = 2});
     const auto reply = site.begin(1, {.path = "/tell/x", .method = "POST", .model = "m1", .events = 40, .body = "prompt"});
     site.waitFor("some events", [&] { return reply->events().size() >= 5; });
@@ -142,10 +142,10 @@
     }
 }
 
-TEST_CASE("a resumed stream whose next runner answers with an error looks cut, not ended")
+TEST_CASE("a stream that the next runner answers with an error instead of resuming it is aborted, not ended")
 {
-    // A stream breaks, and the runner that is to go on with it answers with an error of its own. Framed like an end, that would pass a part of
-    // a review off as the whole one.
+    // A stream breaks, and the runner that should resume it answers with an error. If the gateway then ended the stream regularly, the client would
+    // take the part for the whole.
     Site site({.gateways = 1, .runners = 2, .instances = 1, .models = 1});
     const auto reply = site.begin(1, {.path = "/tell/x", .method = "POST", .model = "m1", .events = 40, .body = "prompt"});
     site.waitFor("some events", [&] { return reply->events().size() >= 3; });
@@ -157,10 +157,10 @@
     CHECK_FALSE(reply->isWhole());
 }
 
-TEST_CASE("answers that are cut, doubled, unframed or late never reach the wrong caller")
+TEST_CASE("answers that are truncated, duplicated, unframed or late never reach the wrong caller")
 {
-    // A faulty runner cuts its answers, sends a second one, or sends an answer to an earlier request first. Each caller gets its own whole
-    // answer or none.
+    // A faulty target truncates its answers, sends a second one, or sends an answer to an earlier request first. Each caller must get its own
+    // complete answer or an error.
     Site site({.gateways = 1, .runners = 1, .instances = 2, .models = 1});
     for (const auto *mode : {"extra", "stray", "unframed", "truncate", "lose-answers"}) {
         site.platform({{"part", "runner"}, {"id", "p1"}, {"mode", mode}});
@@ -177,9 +177,9 @@
     }
 }
 
-TEST_CASE("the store is away: what is known goes on, and leaving runners are not forgotten")
+TEST_CASE("while the store is unavailable, gateways keep serving with the targets that they know")
 {
-    // The store answers nobody for two seconds, and rows of runners lapse meanwhile although the runners are well. Callers must not notice.
+    // The store serves nobody for two seconds, and runners' rows lapse meanwhile although the runners are healthy. Callers must not notice.
     Site site;
     site.platform({{"part", "store"}, {"mode", "busy"}});
     const auto until = site.loop().now() + Duration::seconds(2);
@@ -195,11 +195,11 @@
     }
 }
 
-TEST_CASE("the store falls silent and forgets the calls that wait: rows that lapsed are doubted, and its return is noticed")
+TEST_CASE("the store stops answering and drops pending calls: a mass removal of rows is distrusted, and its recovery is noticed")
 {
-    // The store answers nothing for some seconds; connections stay open, and what waited there is never answered. It drops all runners' rows, for it
-    // could not hear them either; they are back a second after its return. Callers must not notice, and what operators change then must be
-    // in force soon: a gateway that waits for an answer to its lost call would refuse everything for as long.
+    // The store answers nothing for some seconds; connections stay open, and pending calls are never answered. It drops the rows of all targets, since
+    // it got no heartbeats either; the rows are back a second after its recovery. Callers must not notice, and a later change of declarations must
+    // be in force soon: a gateway that waited for the answer to its lost call would refuse requests for as long.
     Site site;
     const std::vector<std::string> targets {"r1", "r2", "r3", "p1", "p2"};
     const auto serveFor = [&](Duration time) {
@@ -226,10 +226,10 @@
         "the new route", [&] { return site.call(2, {.path = "/extra/x"})->status == 200; }, Duration::seconds(2));
 }
 
-TEST_CASE("a gateway that alone loses the store learns declarations and leaving runners from the others")
+TEST_CASE("a gateway that alone loses the store learns declarations and leaving targets from the others")
 {
-    // One host's way to the store is cut, silently. Its callers must get new routes like all others, and none of their requests may go to a
-    // runner that has said that it leaves.
+    // The path from one gateway to the store is cut without an error. Its callers must get new routes like all others, and none of their requests
+    // may go to a target that has announced that it leaves.
     Site site;
     site.link("store:gw-2", "freeze");
     site.platform({{"part", "operator"}, {"change", "add-route"}});
@@ -242,9 +242,9 @@
     }
 }
 
-TEST_CASE("rows that nobody can read name no runner, and the others hold")
+TEST_CASE("malformed target rows are ignored, and the other rows stay in force")
 {
-    // Some program writes rubbish among the runners' rows. Requests must go on to the runners that are there.
+    // A program writes malformed rows into the targets' table. Requests must still reach the targets with valid rows.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1});
     for (const auto *value : {"",
                               "not json",
@@ -257,9 +257,9 @@
     }
 }
 
-TEST_CASE("a runner that comes back under its id is taken for a new one")
+TEST_CASE("a runner that restarts under the same id is treated as a new one")
 {
-    // A runner crashes and starts again under the id that it had, empty. A request for what it held before must not be lost on it.
+    // A runner crashes and restarts under its old id without any model. Requests for a model that it held before must not fail because of it.
     Site site({.gateways = 1, .runners = 2, .instances = 1, .models = 2});
     REQUIRE(site.stream(1, "m1")->isWhole());
     site.platform({{"part", "runner"}, {"id", "r1"}, {"mode", "crash"}, {"downMs", 200}, {"sameId", true}});
@@ -268,9 +268,9 @@
     CHECK(site.truth()["overfull"] == 0);
 }
 
-TEST_CASE("orders that get no answer and come late never fill a runner beyond its room")
+TEST_CASE("orders that are unanswered and carried out late never exceed a runner's memory")
 {
-    // Runners leave orders unanswered and carry them out later. A runner that is ordered more than it holds crashes, with all its streams.
+    // Runners leave orders unanswered and carry them out later. A runner that is ordered to load more than fits crashes, with all its streams.
     Site site({.gateways = 2, .runners = 3, .instances = 1, .models = 3});
     site.platform({{"part", "runner"}, {"id", "r1"}, {"mode", "late-orders"}});
     site.platform({{"part", "runner"}, {"id", "r2"}, {"mode", "late-orders"}});
@@ -282,9 +282,9 @@
     CHECK(site.truth()["overfull"] == 0);
 }
 
-TEST_CASE("the gateway that gives orders dies: another one does, and never both")
+TEST_CASE("the lease holder is killed: exactly one other gateway takes over giving orders")
 {
-    // The order giver is killed. Adapters can be loaded again after its lease, by one gateway alone.
+    // The gateway that gives orders is killed. After its lease has expired, adapters can be loaded again, by a single gateway.
     Site site({.gateways = 3, .runners = 2, .instances = 1, .models = 2});
     REQUIRE(site.stream(1, "m1/a1")->isWhole());
     const auto holder = [&] {
@@ -306,7 +306,7 @@
 
 TEST_CASE("a planned stop cuts off nothing")
 {
-    // A host is taken away in order. What its callers had sent is answered whole, and the process ends by itself.
+    // A host is drained. Requests that its callers have sent are answered completely, and the process exits by itself.
     Site site;
     const auto reply = site.begin(1, {.path = "/chat/x", .method = "POST", .model = "m1", .events = 60, .body = "prompt"});
     site.waitFor("some events", [&] { return reply->events().size() >= 3; });
@@ -322,9 +322,9 @@
     CHECK(site.waitForExit("gw-1") == 0);
 }
 
-TEST_CASE("SIGHUP makes a gateway read its settings again, and a broken file changes nothing")
+TEST_CASE("SIGHUP makes a gateway reload its settings, and an invalid file changes nothing")
 {
-    // An operator's tool writes the settings file and sends SIGHUP, as to any daemon. A daemon that ended at it would cut off all its callers.
+    // An operator's tool writes the settings file and sends SIGHUP, as to any daemon. If the gateway exited at it, all its callers would be cut off.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1});
     site.process("gw-1").send(SIGHUP);
     site.waitFor("the reload", [&] { return site.process("gw-1").log().find("part=settings event=reloaded") != std::string::npos; });
@@ -334,9 +334,9 @@
     CHECK(site.call(1, {.path = "/read/x"})->status == 200);
 }
 
-TEST_CASE("a caller that leaves has its work cancelled")
+TEST_CASE("the work of a caller that leaves is cancelled at the runner")
 {
-    // A client gives up. Its runner must not go on working for nobody.
+    // Guards against runners that go on working on a request whose client has given up.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1});
     const auto reply = site.begin(1, {.path = "/chat/x", .method = "POST", .model = "m1", .events = 300, .body = "prompt"});
     site.waitFor("an event", [&] { return !reply->events().empty(); });
@@ -345,9 +345,9 @@
         "the cancellation", [&] { return site.truth()["runners"]["r1"]["cancelled"] == 1; }, Duration::seconds(1));
 }
 
-TEST_CASE("a request that reaches its route's timeout gets its final answer then")
+TEST_CASE("a request that reaches its route's timeout gets its final answer at that time")
 {
-    // The operator has shortened a route's timeout while requests take longer. Whoever waits on must be told.
+    // An operator has shortened a route's timeout below the time that a request takes. Its client must get an answer when the timeout expires.
     Site site({.gateways = 1, .runners = 1, .instances = 1, .models = 1});
     site.platform({{"part", "operator"}, {"change", "timeout"}, {"ms", 300}});
     site.sleep(Duration::millis(300));
@@ -358,12 +358,12 @@
     CHECK(site.loop().now() - before < Duration::millis(900));
 }
 
-TEST_CASE("nobody reads a gateway's log: no request waits for it, and what is read later is whole lines")
+TEST_CASE("an unread log pipe blocks no request, and what is read from it later are complete lines")
 {
-    // The collector of logs hangs, and the pipe to it fills up within a hundred requests. A gateway that waited for it would answer nobody any
-    // more, and its log, of all things, could not say why.
+    // The log collector hangs, and the pipe to it fills up within a hundred requests. A gateway that blocked on writing would stop answering, and its
+    // log couldn't show why.
     Site site({.gateways = 1, .unreadLog = true});
-    constexpr int Requests = 400; // some three times what a pipe holds
+    constexpr int Requests = 400; // their lines are about three times what a pipe holds
     std::string last;
     auto slowest = Duration();
     for (int i = 0; i < Requests; ++i) {
@@ -386,9 +386,9 @@
     }
 }
 
-TEST_CASE("what a request costs a gateway", "[.cost]")
+TEST_CASE("processor time of a gateway per request", "[.cost]")
 {
-    // Not part of the checks: prints processor time per request. perf can be attached to the process meanwhile.
+    // A benchmark, hidden from normal runs: prints the processor time per request. perf can be attached to the process meanwhile.
     Site site({.gateways = 1, .runners = 4});
     const auto processorMillis = [&] {
         std::ifstream in("/proc/" + std::to_string(site.process("gw-1").pid()) + "/schedstat");
--- a/tests/unit_callerserver.cpp
+++ b/tests/unit_callerserver.cpp
@@ -1,4 +1,4 @@
-// Callers' connections: limits, framing, hang-ups, planned stops.
+// Tests of the server for callers' connections: limits, framing, callers that leave, planned stops.
 #include "gateway/callerserver.h"
 #include "tests/rawcaller.h"
 
@@ -56,7 +56,7 @@
     CHECK(answer.isClosed);
 }
 
-TEST_CASE("what is too large, malformed or too slow is answered as such, and the handler never sees it")
+TEST_CASE("a request that is too large, malformed or too slow is answered with its own status and never reaches the handler")
 {
     ServerFixture fixture;
     CHECK(fixture.call("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n").text.starts_with("HTTP/1.1 413"));
@@ -77,14 +77,14 @@
     CHECK(answer.isClosed);
 }
 
-TEST_CASE("a caller that expects to be told to go on is told so")
+TEST_CASE("a request with Expect: 100-continue gets the interim answer 100")
 {
     ServerFixture fixture;
     const auto answer = fixture.call("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi");
     CHECK(answer.text.starts_with("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK"));
 }
 
-TEST_CASE("a streamed answer is chunked, and one that is broken off looks cut")
+TEST_CASE("a streamed answer is chunked, and an aborted one has no last chunk")
 {
     ServerFixture fixture;
     fixture.answer = [](const CallerExchangePtr &exchange) {
@@ -101,9 +101,9 @@
     CHECK_FALSE(fixture.call("GET /cut HTTP/1.1\r\nHost: h\r\n\r\n").text.ends_with("0\r\n\r\n"));
 }
 
-TEST_CASE("a caller that leaves while its answer is due is noticed at once")
+TEST_CASE("a caller that closes its connection while its request is in flight is noticed at once")
 {
-    // A client gives up. Unless we notice, its runner goes on working for nobody.
+    // Guards against runners that go on working on a request whose client has given up.
     ServerFixture fixture;
     bool left = false;
     fixture.answer = [&left](const CallerExchangePtr &exchange) {
@@ -118,7 +118,7 @@
     gone.get();
 }
 
-TEST_CASE("a process that leaves ends each connection with an answer, and closes idle ones when told to")
+TEST_CASE("a leaving process closes each connection after its answer, and idle ones on request")
 {
     ServerFixture fixture;
     fixture.server.setLeaving();
