--- a/src/gateway/forwardedanswer.cpp
+++ b/src/gateway/forwardedanswer.cpp
@@ -26,7 +26,7 @@
     if (HttpStatus::isSuccess(head.status) && m_route.kind == RouteKind::Stream) {
         beginForwarding();
     }
-    return AnswerVerdict::Take;
+    return AnswerVerdict::Accept;
 }
 
 /// Status and headers go to the client with the first bytes of the body: a stream that breaks before them can still be sent to another target.
--- a/src/gateway/forwardedrequest.cpp
+++ b/src/gateway/forwardedrequest.cpp
@@ -265,9 +265,9 @@
     call.target = m_exchange->head().target;
     call.headers = requestHeaders(choice);
     call.body = m_exchange->body();
-    call.reuseWithin = m_route.mayRepeat() ? Duration::seconds(60) : m_owner.parts.reuse.limit(now());
+    call.maxIdleTime = m_route.mayRepeat() ? Duration::seconds(60) : m_owner.parts.reuse.limit(now());
     if (choice.isLastResort) {
-        call.reuseWithin = Duration(); // a failed connect shows that the target is down before the request is sent
+        call.maxIdleTime = Duration(); // a failed connect shows that the target is down before the request is sent
     }
     call.onHead = [this](const HttpHead &head) {
         return onHead(head);
--- a/src/net/eventlog.cpp
+++ b/src/net/eventlog.cpp
@@ -120,7 +120,7 @@
     TimePoint refilledAt;
     double allowance = 0; // lines that may be written now
     std::uint64_t dropped = 0;
-    std::uint64_t droppedToSay = 0;
+    std::uint64_t unreportedDrops = 0;
 
     Private(EventLoop &ownerLoop, EventLogOptions logOptions)
         : loop(ownerLoop)
@@ -165,9 +165,9 @@
 auto EventLog::mayAppend() -> bool
 {
     d->refill();
-    if (d->allowance < 1 || d->pending.size() > d->options.mostPending) {
+    if (d->allowance < 1 || d->pending.size() > d->options.maxPending) {
         ++d->dropped;
-        ++d->droppedToSay;
+        ++d->unreportedDrops;
         return false;
     }
     d->allowance -= 1;
@@ -176,9 +176,9 @@
 
 auto EventLog::append(const std::string &text) -> void
 {
-    if (d->droppedToSay > 0) {
-        d->addLine("part=log event=dropped lines=" + std::to_string(d->droppedToSay));
-        d->droppedToSay = 0;
+    if (d->unreportedDrops > 0) {
+        d->addLine("part=log event=dropped lines=" + std::to_string(d->unreportedDrops));
+        d->unreportedDrops = 0;
     }
     d->addLine(text);
     if (!d->flushTimer.isActive()) {
--- a/src/net/eventlog.h
+++ b/src/net/eventlog.h
@@ -55,7 +55,7 @@
     std::string host; ///< stands in every line
     double linesPerSecond = 1500; ///< more are dropped; some ten lines for each request at the design's peak of an entry
     double burst = 4000; ///< lines beyond the rate
-    std::size_t mostPending = 1U << 20U; ///< bytes not yet taken by the reader; more are dropped
+    std::size_t maxPending = 1U << 20U; ///< bytes not yet taken by the reader; more are dropped
     Duration flushPeriod = Duration::millis(50);
 };
 
--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -36,7 +36,7 @@
 {
 
 /// What a loop shares with its timers, which may outlive it.
-struct LoopLife {
+struct LoopState {
     bool alive = true;
     bool watched = false; // runUntil() wants to look after each event
 };
@@ -51,7 +51,7 @@
     EventLoop::Task task;
     Duration period; // 0: once
     bool active = false;
-    std::shared_ptr<LoopLife> life;
+    std::shared_ptr<LoopState> life;
 
     static auto fire(lws_sorted_usec_list_t *entry) -> void;
     auto schedule(Duration delay) -> void
@@ -117,7 +117,7 @@
     std::atomic<bool> stopping = false;
     std::mutex mutex; // guards tasks: the only state that other threads touch
     std::deque<Task> tasks;
-    std::shared_ptr<LoopLife> life = std::make_shared<LoopLife>();
+    std::shared_ptr<LoopState> life = std::make_shared<LoopState>();
 
     auto runTasks() -> void
     {
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -78,7 +78,7 @@
     }
 
     auto end(CallEnd how) -> void;
-    auto forgetLibraryTimeout() -> void;
+    auto clearLibraryTimeout() -> void;
     auto onHandshake(unsigned char **at, unsigned char *limit) -> int;
     auto onWritable() -> int;
     auto onHead() -> int;
@@ -114,7 +114,7 @@
 
 /// libwebsockets ends calls whose answer takes longer than its own limit; the call's timer is the only one wanted here.
 /// It arms its limit after our callback has returned, hence the post.
-auto HttpClient::Private::Call::forgetLibraryTimeout() -> void
+auto HttpClient::Private::Call::clearLibraryTimeout() -> void
 {
     client->loop.post([self = shared_from_this()] {
         if (self->wsi != nullptr) {
@@ -146,7 +146,7 @@
         lws_client_http_body_pending(wsi, 1);
         lws_callback_on_writable(wsi);
     }
-    forgetLibraryTimeout();
+    clearLibraryTimeout();
     return 0;
 }
 
@@ -168,7 +168,7 @@
     }
     bodyWritten += size;
     if (last) {
-        forgetLibraryTimeout();
+        clearLibraryTimeout();
     } else {
         lws_callback_on_writable(wsi);
     }
@@ -187,7 +187,7 @@
     if (call.onHead) {
         call.onHead(static_cast<int>(lws_http_client_http_response(wsi)), headers);
     }
-    forgetLibraryTimeout();
+    clearLibraryTimeout();
     return 0;
 }
 
--- a/src/net/httppool.cpp
+++ b/src/net/httppool.cpp
@@ -81,7 +81,7 @@
     std::unique_ptr<TcpStream> m_stream; ///< null once closed
     HttpReader m_reader;
     std::shared_ptr<PooledCall> m_call; ///< shared, so that a hook that cancels the call doesn't destroy itself
-    AnswerVerdict m_verdict = AnswerVerdict::Take;
+    AnswerVerdict m_verdict = AnswerVerdict::Accept;
     bool m_busy = false;
     int m_calls = 0; ///< started on this connection
     int m_skipped = 0; ///< late answers during this call
@@ -116,7 +116,7 @@
             connections.erase(found);
         }
     }
-    auto findIdle(const Endpoint &server, Duration within) const -> std::shared_ptr<PoolConnection>;
+    auto findIdle(const Endpoint &server, Duration maxIdleTime) const -> std::shared_ptr<PoolConnection>;
     auto closeExpired() -> void;
 };
 
@@ -131,13 +131,13 @@
 auto PoolConnection::prepareReader() -> void
 {
     m_reader.reset();
-    m_verdict = AnswerVerdict::Take;
+    m_verdict = AnswerVerdict::Accept;
     m_reader.onHead = [this] {
         onHead();
     };
     m_reader.onBody = [this](std::string_view bytes) {
         const auto call = m_call;
-        if (m_verdict == AnswerVerdict::Take && call && call->onBody) {
+        if (m_verdict == AnswerVerdict::Accept && call && call->onBody) {
             call->onBody(bytes);
         }
     };
@@ -226,7 +226,7 @@
         return;
     }
     const auto call = m_call;
-    m_verdict = call && call->onHead ? call->onHead(head) : AnswerVerdict::Take;
+    m_verdict = call && call->onHead ? call->onHead(head) : AnswerVerdict::Accept;
 }
 
 auto PoolConnection::onData(std::string_view bytes) -> void
@@ -251,14 +251,14 @@
         if (!m_reader.isComplete()) {
             return;
         }
-        if (m_verdict == AnswerVerdict::Take) {
+        if (m_verdict == AnswerVerdict::Accept) {
             onAnswered(bytes.empty());
             return;
         }
         const bool isInterim = m_reader.head().status < FirstFinalStatus;
         if (!isInterim) {
             ++m_pool->counts.strayAnswers;
-            if (++m_skipped > m_pool->options.mostSkipped || !m_reader.head().keepsConnection) {
+            if (++m_skipped > m_pool->options.maxSkipped || !m_reader.head().keepsConnection) {
                 finish(CallEnd::Broken, TcpEnd::Reset);
                 return;
             }
@@ -267,13 +267,13 @@
     }
 }
 
-/// The answer is whole. `isQuiet`: nothing came behind it.
-auto PoolConnection::onAnswered(bool isQuiet) -> void
+/// The answer is whole. `noBytesFollow`: nothing came behind it.
+auto PoolConnection::onAnswered(bool noBytesFollow) -> void
 {
     const auto &head = m_reader.head();
     // A server may answer before it has read the call: the rest of the body is still due then, and a next call would be read as that.
-    const bool isReusable = isQuiet && head.keepsConnection && m_stream->pendingBytes() == 0 && !m_reader.endsWithConnection();
-    if (!isQuiet) {
+    const bool isReusable = noBytesFollow && head.keepsConnection && m_stream->pendingBytes() == 0 && !m_reader.endsWithConnection();
+    if (!noBytesFollow) {
         ++m_pool->counts.strayAnswers;
     }
     if (!isReusable) {
@@ -284,7 +284,7 @@
     const auto &options = m_pool->options;
     const auto stated = keepAliveTimeout(head.headers);
     m_idleSince = now;
-    m_idleUntil = now + (stated ? std::min(*stated - options.keepMargin, options.keepFor) : options.keepFor);
+    m_idleUntil = now + (stated ? std::min(*stated - options.idleTimeoutMargin, options.idleTimeout) : options.idleTimeout);
     m_stream->resumeReading();
     m_busy = false;
     auto &list = m_pool->connections[m_server];
@@ -305,7 +305,7 @@
         return;
     }
     // Without a length an answer is whole only if the connection was closed in order.
-    if (how == TcpEnd::Closed && m_reader.endsWithConnection() && m_verdict == AnswerVerdict::Take && m_reader.feedEnd()) {
+    if (how == TcpEnd::Closed && m_reader.endsWithConnection() && m_verdict == AnswerVerdict::Accept && m_reader.feedEnd()) {
         finish(CallEnd::Complete, how);
         return;
     }
@@ -325,7 +325,7 @@
     }
 }
 
-auto HttpPool::Private::findIdle(const Endpoint &server, Duration within) const -> std::shared_ptr<PoolConnection>
+auto HttpPool::Private::findIdle(const Endpoint &server, Duration maxIdleTime) const -> std::shared_ptr<PoolConnection>
 {
     const auto found = connections.find(server);
     if (found == connections.end()) {
@@ -334,7 +334,7 @@
     const auto now = loop.now();
     const auto &list = found->second;
     const auto fits = [&](const auto &connection) {
-        return connection->isUsableAt(now) && now - connection->idleSince() < within;
+        return connection->isUsableAt(now) && now - connection->idleSince() < maxIdleTime;
     };
     const auto match = std::find_if(list.rbegin(), list.rend(), fits); // the last used is the least likely to be dead
     return match == list.rend() ? nullptr : *match;
@@ -384,14 +384,14 @@
     return found == d->connections.end() ? 0 : found->second.size();
 }
 
-auto HttpPool::hasIdle(const Endpoint &server, Duration within) const -> bool
+auto HttpPool::hasIdle(const Endpoint &server, Duration maxIdleTime) const -> bool
 {
-    return d->findIdle(server, within) != nullptr;
+    return d->findIdle(server, maxIdleTime) != nullptr;
 }
 
 auto HttpPool::start(PooledCall call) -> std::shared_ptr<PooledHandle>
 {
-    auto connection = d->findIdle(call.server, call.reuseWithin);
+    auto connection = d->findIdle(call.server, call.maxIdleTime);
     if (connection) {
         ++d->counts.reused;
     } else {
@@ -422,7 +422,7 @@
     d->options.tcp = tcp;
 }
 
-auto HttpPool::forgetAll() -> void
+auto HttpPool::closeAllIdle() -> void
 {
     std::vector<Endpoint> servers;
     for (const auto &[server, list] : d->connections) {
--- a/src/net/httppool.h
+++ b/src/net/httppool.h
@@ -23,7 +23,7 @@
 
 /// What the pool does with an answer whose head has come.
 enum class AnswerVerdict {
-    Take,
+    Accept,
     Skip, ///< a late answer to an earlier call: the next one may be ours
     Refuse, ///< can't be trusted: ends the call as Broken
 };
@@ -42,7 +42,7 @@
     std::string target = "/"; ///< path and query
     HttpHeaders headers; ///< without content-length
     std::string body;
-    Duration reuseWithin = Duration::seconds(60); ///< a kept connection that was idle for longer isn't used; 0: only a new one
+    Duration maxIdleTime = Duration::seconds(60); ///< a kept connection that was idle for longer isn't used; 0: only a new one
 
     std::function<AnswerVerdict(const HttpHead &head)> onHead; ///< none: every answer is taken
     std::function<void(std::string_view bytes)> onBody;
@@ -67,9 +67,9 @@
 struct HttpPoolOptions {
     TcpOptions tcp;
     std::size_t headBytes = 65536; ///< of an answer
-    Duration keepFor = Duration::seconds(60); ///< an idle connection is closed after this
-    Duration keepMargin = Duration::millis(1000); ///< before the server's own idle timeout, which it states in whole seconds
-    int mostSkipped = 2; ///< late answers before a connection is given up
+    Duration idleTimeout = Duration::seconds(60); ///< an idle connection is closed after this
+    Duration idleTimeoutMargin = Duration::millis(1000); ///< before the server's own idle timeout, which it states in whole seconds
+    int maxSkipped = 2; ///< late answers before a connection is given up
 };
 
 struct HttpPoolCounts {
@@ -88,14 +88,14 @@
 
     auto counts() const -> const HttpPoolCounts &;
     auto connections(const Endpoint &server) const -> std::size_t; ///< busy and idle
-    auto hasIdle(const Endpoint &server, Duration within) const -> bool; ///< one that a call with that `reuseWithin` would use
+    auto hasIdle(const Endpoint &server, Duration maxIdleTime) const -> bool; ///< one that a call with that `maxIdleTime` would use
 
     /// Never calls a hook before it has returned.
     auto start(PooledCall call) -> std::shared_ptr<PooledHandle>;
     /// Closes idle connections to a server that is gone, or whose connections can't be trusted any more.
     auto closeIdle(const Endpoint &server) -> void;
     auto setTcpOptions(const TcpOptions &tcp) -> void; ///< of connections to come
-    auto forgetAll() -> void;
+    auto closeAllIdle() -> void;
 
     struct Private;
 
--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -287,7 +287,7 @@
     return isListed || listContains(connection, name);
 }
 
-auto reasonOf(int status) -> const char *
+auto reasonPhrase(int status) -> const char *
 {
     const char *text = http_status_str(static_cast<http_status>(status));
     return text == nullptr ? "Unknown" : text;
@@ -308,7 +308,7 @@
 
 auto answerHead(int status, const HttpHeaders &headers) -> std::string
 {
-    std::string bytes = "HTTP/1.1 " + std::to_string(status) + " " + reasonOf(status) + "\r\n";
+    std::string bytes = "HTTP/1.1 " + std::to_string(status) + " " + reasonPhrase(status) + "\r\n";
     appendHeaders(bytes, headers);
     return bytes;
 }
--- a/src/net/httpreader.h
+++ b/src/net/httpreader.h
@@ -90,7 +90,7 @@
 auto isHopByHop(std::string_view name, std::string_view connection) -> bool;
 
 /// The reason phrase that goes with a status.
-auto reasonOf(int status) -> const char *;
+auto reasonPhrase(int status) -> const char *;
 
 /// "HTTP/1.1 200 OK" and the headers, with the blank line.
 auto answerHead(int status, const HttpHeaders &headers) -> std::string;
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -64,7 +64,7 @@
     }
     /// While an answer is due, libwebsockets polls the socket but doesn't read it: a caller that hangs up then makes the loop
     /// spin at full processor use, and nobody hears of it. So an idle exchange isn't polled; checkHangUps() looks instead.
-    auto goIdle() const -> void
+    auto stopPolling() const -> void
     {
         lws_set_timeout(wsi, NO_PENDING_TIMEOUT, 0);
         lws_rx_flow_control(wsi, 0);
@@ -154,7 +154,7 @@
         return 0;
     }
     if (!last) {
-        goIdle();
+        stopPolling();
         if (exchange.onDrained) {
             exchange.onDrained();
         }
@@ -266,12 +266,12 @@
     }
 
     static auto callback(lws *wsi, lws_callback_reasons reason, void *user, void *in, size_t length) -> int;
-    static auto onVhostGone(lws_vhost *vhost, void *self) -> void;
+    static auto onVhostDestroyed(lws_vhost *vhost, void *self) -> void;
     auto onRequest(lws *wsi, const char *path) -> int;
     auto onBody(lws *wsi, std::string_view data) -> int;
     auto onBodyEnd(lws *wsi) -> int;
     auto onWritable(lws *wsi) -> int;
-    auto onGone(lws *wsi) -> void;
+    auto onDisconnected(lws *wsi) -> void;
     auto checkHangUps() -> void;
     auto dispatch(const std::shared_ptr<HttpExchange> &exchange) -> void;
     auto refuse(HttpExchange &exchange, int status, const std::string &why) -> void;
@@ -337,7 +337,7 @@
 auto HttpServer::Private::dispatch(const std::shared_ptr<HttpExchange> &exchange) -> void
 {
     exchange->d->dispatched = true;
-    exchange->d->goIdle();
+    exchange->d->stopPolling();
     if (!hangUpCheck.isActive()) {
         hangUpCheck = loop.every(HangUpCheckPeriod, [this] { checkHangUps(); });
     }
@@ -453,7 +453,7 @@
     return lws_http_transaction_completed(wsi) != 0 ? -1 : 0;
 }
 
-auto HttpServer::Private::onGone(lws *wsi) -> void
+auto HttpServer::Private::onDisconnected(lws *wsi) -> void
 {
     const auto exchange = find(wsi);
     if (!exchange) {
@@ -488,7 +488,7 @@
         return 0;
     case LWS_CALLBACK_WSI_DESTROY:
         self->sockets.erase(wsi);
-        self->onGone(wsi);
+        self->onDisconnected(wsi);
         return 0;
     case LWS_CALLBACK_HTTP:
         return self->onRequest(wsi, static_cast<const char *>(in));
@@ -499,7 +499,7 @@
     case LWS_CALLBACK_HTTP_WRITEABLE:
         return self->onWritable(wsi);
     case LWS_CALLBACK_CLOSED_HTTP:
-        self->onGone(wsi);
+        self->onDisconnected(wsi);
         return 0;
     default:
         return 0;
@@ -507,7 +507,7 @@
 }
 
 /// libwebsockets has let go of the virtual host.
-auto HttpServer::Private::onVhostGone(lws_vhost * /*vhost*/, void *self) -> void
+auto HttpServer::Private::onVhostDestroyed(lws_vhost * /*vhost*/, void *self) -> void
 {
     delete static_cast<Private *>(self);
 }
@@ -521,7 +521,7 @@
     info.iface = d->options.listen.address.c_str();
     info.protocols = d->protocols.data();
     info.user = d.get();
-    info.finalize = &Private::onVhostGone;
+    info.finalize = &Private::onVhostDestroyed;
     info.finalize_arg = d.get();
     info.timeout_secs = static_cast<unsigned>(d->options.headerTimeout.inSeconds());
     info.options = LWS_SERVER_OPTION_FAIL_UPON_UNABLE_TO_BIND | LWS_SERVER_OPTION_DISABLE_IPV6;
@@ -555,7 +555,7 @@
     for (lws *socket : open) {
         lws_set_timeout(socket, PENDING_TIMEOUT_KILLED_BY_PARENT, LWS_TO_KILL_SYNC);
     }
-    // The port closes only when the loop comes round: a caller may still get in, and the callback must find its state until onVhostGone().
+    // The port closes only when the loop comes round: a caller may still get in, and the callback must find its state until onVhostDestroyed().
     if (d->listener != nullptr) {
         lws_set_timeout(d->listener, PENDING_TIMEOUT_KILLED_BY_PARENT, LWS_TO_KILL_SYNC);
     }
--- a/src/net/polled.cpp
+++ b/src/net/polled.cpp
@@ -92,7 +92,7 @@
     return m_descriptor;
 }
 
-auto PolledDescriptor::askForWritable() -> void
+auto PolledDescriptor::requestWritable() -> void
 {
     if (m_wsi != nullptr) {
         lws_callback_on_writable(m_wsi);
--- a/src/net/polled.h
+++ b/src/net/polled.h
@@ -23,7 +23,7 @@
     /// False if the loop can take no more descriptors; it is closed then.
     auto attach(EventLoop &loop, int descriptor) -> bool;
     auto descriptor() const -> int; ///< -1 once released
-    auto askForWritable() -> void; ///< onWritable is called once
+    auto requestWritable() -> void; ///< onWritable is called once
     auto setReading(bool on) -> void;
     auto release() -> void; ///< no hook is called from here on
 
--- a/src/net/tcpstream.cpp
+++ b/src/net/tcpstream.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t ReadBytes = 32768;
 constexpr int ProbeCount = 3; ///< unanswered keep-alive probes that end a connection
 constexpr int ListenBacklog = 1024;
-constexpr int MostAcceptedAtOnce = 64; ///< so that a rush of connections doesn't hold up the open ones
+constexpr int MaxAcceptsPerEvent = 64; ///< so that a rush of connections doesn't hold up the open ones
 
 auto socketAddress(const Endpoint &endpoint) -> sockaddr_in
 {
@@ -48,7 +48,7 @@
 {
     constexpr std::int64_t MillisPerSecond = 1000;
     setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
-    setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<unsigned>(options.silence.inMillis()));
+    setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<unsigned>(options.unackedTimeout.inMillis()));
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(std::max(options.probeAfter.inMillis() / MillisPerSecond, std::int64_t {1})));
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, 1);
@@ -207,7 +207,7 @@
         const ssize_t size = send(polled->descriptor(), out.data() + outStart, pending(), MSG_NOSIGNAL);
         if (size < 0) {
             if (errno == EAGAIN) {
-                polled->askForWritable();
+                polled->requestWritable();
             } else if (errno == EINTR) {
                 continue;
             } else {
@@ -260,17 +260,17 @@
             close(descriptor);
         }
     }
-    const auto giveUp = [weak = std::weak_ptr(d)] {
+    const auto endNotConnected = [weak = std::weak_ptr(d)] {
         if (const auto self = weak.lock(); self && self->connecting) {
             self->end(TcpEnd::NotConnected);
         }
     };
     if (!started) {
-        loop.post(giveUp);
+        loop.post(endNotConnected);
         return stream;
     }
-    d->polled->askForWritable();
-    d->connectTimer = loop.after(options.connectTimeout, giveUp);
+    d->polled->requestWritable();
+    d->connectTimer = loop.after(options.connectTimeout, endNotConnected);
     return stream;
 }
 
@@ -371,7 +371,7 @@
 auto TcpListener::Private::accept() -> void
 {
     const auto self = shared_from_this();
-    for (int i = 0; i < MostAcceptedAtOnce && open; ++i) {
+    for (int i = 0; i < MaxAcceptsPerEvent && open; ++i) {
         const int descriptor = accept4(polled->descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (descriptor < 0) {
             if (errno != EAGAIN && errno != EINTR && errno != ECONNABORTED) {
--- a/src/net/tcpstream.h
+++ b/src/net/tcpstream.h
@@ -27,7 +27,7 @@
 
 struct TcpOptions {
     Duration connectTimeout = Duration::millis(500); ///< until the far side has accepted; some two hundred round trips within a region
-    Duration silence = Duration::millis(2000); ///< bytes or probes that stay unacknowledged for so long end the connection
+    Duration unackedTimeout = Duration::millis(2000); ///< bytes or probes that stay unacknowledged for so long end the connection
     Duration probeAfter = Duration::millis(1000); ///< idle time until the first keep-alive probe; whole seconds, at least one
 };
 
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -96,14 +96,14 @@
     TlsFiles files;
     SSL_CTX *context = nullptr;
     std::string stamp;
-    std::string complaint; // the last one logged
+    std::string lastLoggedError; // the last one logged
     int renewals = 0;
     Timer timer;
 
-    auto look() -> void;
+    auto reloadIfChanged() -> void;
 };
 
-auto TlsRenewal::Private::look() -> void
+auto TlsRenewal::Private::reloadIfChanged() -> void
 {
     const auto now = stampOf(files);
     if (now == stamp) {
@@ -113,15 +113,15 @@
     // Loaded then, every new connection would fail until the next renewal.
     const auto wrong = checkTlsFiles(files);
     if (!wrong.empty()) {
-        if (wrong != complaint) {
+        if (wrong != lastLoggedError) {
             LOG(ERROR) << "net: changed TLS files not taken, the old ones stay in use reason=\"" << wrong << "\"";
         }
-        complaint = wrong;
+        lastLoggedError = wrong;
         return;
     }
     loadFiles(context, files);
     stamp = now;
-    complaint.clear();
+    lastLoggedError.clear();
     ++renewals;
     LOG(INFO) << "net: TLS files renewed certificate=" << files.certificate;
 }
@@ -132,7 +132,7 @@
     d->stamp = stampOf(files);
     d->files = std::move(files);
     d->context = context;
-    d->timer = loop.every(period, [self = d.get()] { self->look(); });
+    d->timer = loop.every(period, [self = d.get()] { self->reloadIfChanged(); });
 }
 
 TlsRenewal::~TlsRenewal() = default;
--- a/src/wire/connection.cpp
+++ b/src/wire/connection.cpp
@@ -21,7 +21,7 @@
 {
     SessionHooks sessionHooks;
     sessionHooks.wantWrite = [this] {
-        askForWritable();
+        requestWritable();
     };
     sessionHooks.onStream = m_hooks.onStream;
     sessionHooks.onReady = [this] {
@@ -73,7 +73,7 @@
     if (m_tls) {
         m_tls->start();
     }
-    askForWritable();
+    requestWritable();
 }
 
 auto PeerConnection::drop(const std::string &why) -> void
@@ -113,10 +113,10 @@
     });
 }
 
-auto PeerConnection::askForWritable() -> void
+auto PeerConnection::requestWritable() -> void
 {
-    if (m_wsi != nullptr && m_started && !m_writeAsked) {
-        m_writeAsked = true;
+    if (m_wsi != nullptr && m_started && !m_writeRequested) {
+        m_writeRequested = true;
         lws_callback_on_writable(m_wsi);
     }
 }
@@ -138,13 +138,13 @@
     if (!fine) {
         drop(m_tls->fault());
     } else {
-        askForWritable();
+        requestWritable();
     }
     return m_closed ? -1 : 0;
 }
 
 /// The next bytes for the socket.
-auto PeerConnection::gather(unsigned char *to) -> std::size_t
+auto PeerConnection::fillWriteBuffer(unsigned char *to) -> std::size_t
 {
     if (!m_tls) {
         return m_session->fill(to, PeerWriteBytes);
@@ -166,14 +166,14 @@
 
 auto PeerConnection::onWritable() -> int
 {
-    m_writeAsked = false;
+    m_writeRequested = false;
     if (lws_partial_buffered(m_wsi) != 0) {
-        askForWritable();
+        requestWritable();
         return 0;
     }
     std::array<unsigned char, LWS_PRE + PeerWriteBytes> buffer; // not cleared: written before it is read
     unsigned char *start = buffer.data() + LWS_PRE;
-    const std::size_t size = gather(start);
+    const std::size_t size = fillWriteBuffer(start);
     if (size > 0 && lws_write(m_wsi, start, size, LWS_WRITE_RAW) < 0) {
         return -1;
     }
@@ -182,9 +182,9 @@
         return -1;
     }
     if (wantsWrite()) {
-        askForWritable();
+        requestWritable();
     }
-    m_session->tellDrained();
+    m_session->notifyDrained();
     return m_closed ? -1 : 0;
 }
 
--- a/src/wire/connection.h
+++ b/src/wire/connection.h
@@ -42,9 +42,9 @@
     auto onReceived(std::string_view bytes) -> int;
     auto onWritable() -> int;
     auto receivePlain(std::string_view bytes) -> bool;
-    auto gather(unsigned char *to) -> std::size_t;
+    auto fillWriteBuffer(unsigned char *to) -> std::size_t;
     auto wantsWrite() const -> bool;
-    auto askForWritable() -> void;
+    auto requestWritable() -> void;
     auto detach() -> void;
     auto close(const std::string &why) -> void;
 
@@ -56,7 +56,7 @@
     lws *m_wsi = nullptr;
     Timer m_deadline; // until the far side has shown itself
     bool m_started = false; // the socket stands: bytes may flow
-    bool m_writeAsked = false;
+    bool m_writeRequested = false;
     bool m_closed = false;
 };
 
--- a/src/wire/framing.cpp
+++ b/src/wire/framing.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t MaxVarintBytes = 10;
 /// A reader that once held a large message gives the memory back.
-constexpr std::size_t KeptCapacity = 64U << 10U;
+constexpr std::size_t MaxKeptCapacity = 64U << 10U;
 
 } // namespace
 
@@ -50,7 +50,7 @@
 {
     m_buffer.erase(0, m_at);
     m_at = 0;
-    if (m_buffer.empty() && m_buffer.capacity() > KeptCapacity) {
+    if (m_buffer.empty() && m_buffer.capacity() > MaxKeptCapacity) {
         m_buffer = std::string();
     }
 }
--- a/src/wire/packedrows.cpp
+++ b/src/wire/packedrows.cpp
@@ -9,21 +9,21 @@
 namespace
 {
 
-constexpr std::size_t LeastPacked = 512; ///< bytes; below, there is little to gain
-constexpr std::uint64_t MostUnpacked = 64U << 20U; ///< bytes; a mistake in a length must not take all memory. Documents of 20,000 routes fit
-constexpr int Level = 1; ///< of zlib: fastest; hosts have a tenth of a processor
+constexpr std::size_t MinPackedBytes = 512; ///< bytes; below, there is little to gain
+constexpr std::uint64_t MaxUnpackedBytes = 64U << 20U; ///< bytes; a mistake in a length must not take all memory. Documents of 20,000 routes fit
+constexpr int ZlibLevel = 1; ///< of zlib: fastest; hosts have a tenth of a processor
 
 } // namespace
 
 auto packRows(const Wire::StoreRows &rows) -> Wire::StoreRows
 {
     const auto plain = rows.SerializeAsString();
-    if (plain.size() < LeastPacked) {
+    if (plain.size() < MinPackedBytes) {
         return rows;
     }
     auto size = compressBound(plain.size());
     std::string packed(size, '\0');
-    const int result = compress2(reinterpret_cast<Bytef *>(packed.data()), &size, reinterpret_cast<const Bytef *>(plain.data()), plain.size(), Level);
+    const int result = compress2(reinterpret_cast<Bytef *>(packed.data()), &size, reinterpret_cast<const Bytef *>(plain.data()), plain.size(), ZlibLevel);
     if (result != Z_OK || size >= plain.size()) {
         return rows;
     }
@@ -40,7 +40,7 @@
     if (rows.packed().empty()) {
         return rows;
     }
-    if (rows.unpacked_bytes() > MostUnpacked) {
+    if (rows.unpacked_bytes() > MaxUnpackedBytes) {
         return std::nullopt;
     }
     uLongf size = rows.unpacked_bytes();
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -57,7 +57,7 @@
     std::function<void(std::string_view message)> onMessage; ///< one whole serialised message
     std::function<void(StreamEnd end)> onEnd; ///< exactly once, when both sides are done or the stream broke
     std::function<void()> onDrained; ///< pendingBytes() came down to 0
-    std::function<void()> onFarFinished; ///< the far side sends no more; ours may go on
+    std::function<void()> onRemoteFinished; ///< the far side sends no more; ours may go on
 };
 
 using PeerStreamPtr = std::shared_ptr<PeerStream>;
--- a/src/wire/peerlinks.cpp
+++ b/src/wire/peerlinks.cpp
@@ -11,7 +11,7 @@
 {
 
 /// Heartbeats without a message after which a peer is asked.
-constexpr double SilentBeats = 1.5;
+constexpr double HeartbeatsBeforePing = 1.5;
 /// A peer that takes no control messages isn't sent more: they would pile up. It gets the newest state when it is back.
 constexpr std::size_t MaxPendingBytes = 4U << 20U;
 
@@ -119,7 +119,7 @@
 PeerLinks::PeerLinks(EventLoop &loop, std::string part, PeerOptions options, Duration heartbeat, LinkHooks hooks)
     : d(std::make_unique<Private>(loop, std::move(part), std::move(options), std::move(hooks)))
 {
-    d->heartbeat = loop.every(heartbeat, [this, heartbeat] { d->pingSilent(heartbeat * SilentBeats); });
+    d->heartbeat = loop.every(heartbeat, [this, heartbeat] { d->pingSilent(heartbeat * HeartbeatsBeforePing); });
 }
 
 PeerLinks::~PeerLinks() = default;
--- a/src/wire/peerserver.cpp
+++ b/src/wire/peerserver.cpp
@@ -53,7 +53,7 @@
     std::string address; ///< libwebsockets keeps a pointer to it
 };
 
-auto forgetOwner(lws_vhost * /*vhost*/, void *owner) -> void
+auto deleteOwner(lws_vhost * /*vhost*/, void *owner) -> void
 {
     delete static_cast<VhostOwner *>(owner);
 }
@@ -101,14 +101,14 @@
         tlsRenewal = std::make_unique<TlsRenewal>(loop, options.tls, tls->native(), options.tlsCheck);
     }
     static const std::array<lws_protocols, 2> Protocols {{{"kingcup-peer", &Private::callback, 0, 0, 0, nullptr, PeerWriteBytes}, {}}};
-    auto *owner = new VhostOwner {weak_from_this(), endpoint.address}; // the vhost's, see forgetOwner()
+    auto *owner = new VhostOwner {weak_from_this(), endpoint.address}; // the vhost's, see deleteOwner()
     lws_context_creation_info info {};
     info.port = endpoint.port;
     info.iface = owner->address.c_str();
     info.protocols = Protocols.data();
     info.vhost_name = "peer-server"; // kept as a pointer, like the address above
     info.user = owner;
-    info.finalize = &forgetOwner;
+    info.finalize = &deleteOwner;
     info.finalize_arg = owner;
     info.listen_accept_role = "raw-skt";
     info.listen_accept_protocol = "kingcup-peer";
--- a/src/wire/session.cpp
+++ b/src/wire/session.cpp
@@ -123,7 +123,7 @@
     }
     static auto error(nghttp2_session * /*session*/, int /*code*/, const char *text, size_t length, void *user) -> int
     {
-        self(user).m_detail.assign(text, length);
+        self(user).m_libraryError.assign(text, length);
         return 0;
     }
     static auto readBody(nghttp2_session * /*session*/,
@@ -216,7 +216,7 @@
     const auto keep = shared_from_this();
     const auto taken = nghttp2_session_mem_recv(m_session, reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
     if (taken < 0 && m_fault.empty()) {
-        m_fault = m_detail.empty() ? nghttp2_strerror(static_cast<int>(taken)) : m_detail;
+        m_fault = m_libraryError.empty() ? nghttp2_strerror(static_cast<int>(taken)) : m_libraryError;
     }
     if (m_fault.empty() && wantsWrite()) {
         wantWrite();
@@ -245,13 +245,13 @@
     return filled;
 }
 
-auto PeerSession::tellDrained() -> void
+auto PeerSession::notifyDrained() -> void
 {
     const auto keep = shared_from_this();
     std::vector<std::shared_ptr<SessionStream>> drained;
     drained.swap(m_drained);
     for (const auto &stream : drained) {
-        stream->tellDrained();
+        stream->notifyDrained();
     }
 }
 
@@ -278,7 +278,7 @@
     m_streams.clear();
     m_drained.clear();
     for (const auto &[id, stream] : streams) {
-        stream->onLost();
+        stream->onConnectionLost();
     }
 }
 
@@ -340,7 +340,7 @@
         m_hooks.onStream(stream);
     }
     if (hasEndStream(frame)) {
-        stream->onFarEnd();
+        stream->onRemoteEnd();
     }
 }
 
--- a/src/wire/session.h
+++ b/src/wire/session.h
@@ -45,11 +45,11 @@
     /// Copies the next bytes of the body for nghttp2, or defers.
     auto readBody(std::uint8_t *to, std::size_t capacity, std::uint32_t *flags) -> ssize_t;
     auto onData(std::string_view bytes) -> void;
-    auto onFarEnd() -> void;
+    auto onRemoteEnd() -> void;
     auto onClosed(std::uint32_t errorCode) -> void;
     /// The connection went.
-    auto onLost() -> void;
-    auto tellDrained() -> void;
+    auto onConnectionLost() -> void;
+    auto notifyDrained() -> void;
 
 private:
     friend class PeerSession;
@@ -60,9 +60,9 @@
     auto consume() -> void;
     auto startAnswer() -> void;
     auto wakeWriter() -> void;
-    auto giveUp(std::uint32_t errorCode) -> void;
+    auto resetWith(std::uint32_t errorCode) -> void;
     auto endWith(StreamEnd end) -> void;
-    auto tellEnd() -> void;
+    auto notifyEnd() -> void;
 
     EventLoop &m_loop;
     PeerSession *m_session; // null once the stream is closed on the wire
@@ -77,9 +77,9 @@
     bool m_finished = false; // finish() was called
     bool m_finishSent = false;
     bool m_onWire = false; // the far side may have seen the stream
-    bool m_heard = false; // the far side answered something
-    bool m_farFinished = false;
-    bool m_farFinishedReported = false;
+    bool m_dataReceived = false; // the far side answered something
+    bool m_remoteFinished = false;
+    bool m_remoteFinishedReported = false;
     bool m_paused = false;
     bool m_delivering = false; // a hook is running under deliver()
     bool m_closed = false; // m_end holds
@@ -114,7 +114,7 @@
     /// Copies what is to be sent, as much as fits; the number of bytes.
     auto fill(unsigned char *to, std::size_t capacity) -> std::size_t;
     /// Calls onDrained of the streams that fill() emptied.
-    auto tellDrained() -> void;
+    auto notifyDrained() -> void;
     /// A new stream; null if the session takes no more.
     auto open(const std::string &path) -> PeerStreamPtr;
     /// The connection is gone: every open stream hears its end.
@@ -143,7 +143,7 @@
     std::vector<std::shared_ptr<SessionStream>> m_drained;
     std::string_view m_leftover; // given by nghttp2, not yet copied out; valid until it is asked again
     std::string m_fault;
-    std::string m_detail; // nghttp2's last error in words
+    std::string m_libraryError; // nghttp2's last error in words
     bool m_ready = false;
 };
 
--- a/src/wire/stream.cpp
+++ b/src/wire/stream.cpp
@@ -71,16 +71,16 @@
 
 auto SessionStream::reset() -> void
 {
-    giveUp(NGHTTP2_CANCEL);
+    resetWith(NGHTTP2_CANCEL);
 }
 
 auto SessionStream::refuse() -> void
 {
     // After an answer has begun, "refused" would tell the far side that nothing was done, and it would send the request again.
-    giveUp(m_answered ? NGHTTP2_CANCEL : NGHTTP2_REFUSED_STREAM);
+    resetWith(m_answered ? NGHTTP2_CANCEL : NGHTTP2_REFUSED_STREAM);
 }
 
-auto SessionStream::giveUp(std::uint32_t errorCode) -> void
+auto SessionStream::resetWith(std::uint32_t errorCode) -> void
 {
     if (!isOpen()) {
         return;
@@ -163,7 +163,7 @@
     return static_cast<ssize_t>(size);
 }
 
-auto SessionStream::tellDrained() -> void
+auto SessionStream::notifyDrained() -> void
 {
     if (isOpen() && pendingBytes() == 0 && onDrained) {
         onDrained();
@@ -172,15 +172,15 @@
 
 auto SessionStream::onData(std::string_view bytes) -> void
 {
-    m_heard = true;
+    m_dataReceived = true;
     m_reader.append(bytes);
     m_unconsumed += bytes.size();
     deliver();
 }
 
-auto SessionStream::onFarEnd() -> void
+auto SessionStream::onRemoteEnd() -> void
 {
-    m_farFinished = true;
+    m_remoteFinished = true;
     deliver();
 }
 
@@ -194,15 +194,15 @@
     m_delivering = true;
     takeMessages();
     consume();
-    if (!m_paused && m_farFinished && !m_farFinishedReported) {
-        m_farFinishedReported = true;
-        if (onFarFinished) {
-            onFarFinished();
+    if (!m_paused && m_remoteFinished && !m_remoteFinishedReported) {
+        m_remoteFinishedReported = true;
+        if (onRemoteFinished) {
+            onRemoteFinished();
         }
     }
     m_delivering = false;
     if (m_closed && (!m_paused || m_end != StreamEnd::Complete)) {
-        tellEnd();
+        notifyEnd();
     }
 }
 
@@ -237,17 +237,17 @@
 auto SessionStream::onClosed(std::uint32_t errorCode) -> void
 {
     const bool isClient = m_session->m_role == SessionRole::Client;
-    const bool whole = errorCode == NGHTTP2_NO_ERROR && m_farFinished && m_finishSent;
+    const bool whole = errorCode == NGHTTP2_NO_ERROR && m_remoteFinished && m_finishSent;
     if (whole) {
         endWith(StreamEnd::Complete);
-    } else if (isClient && (!m_onWire || (errorCode == NGHTTP2_REFUSED_STREAM && !m_heard))) {
+    } else if (isClient && (!m_onWire || (errorCode == NGHTTP2_REFUSED_STREAM && !m_dataReceived))) {
         endWith(StreamEnd::Refused);
     } else {
         endWith(StreamEnd::Broken);
     }
 }
 
-auto SessionStream::onLost() -> void
+auto SessionStream::onConnectionLost() -> void
 {
     const bool neverSent = m_session != nullptr && m_session->m_role == SessionRole::Client && !m_onWire;
     endWith(neverSent ? StreamEnd::Refused : StreamEnd::Broken);
@@ -266,7 +266,7 @@
     deliver();
 }
 
-auto SessionStream::tellEnd() -> void
+auto SessionStream::notifyEnd() -> void
 {
     m_endReported = true;
     if (m_reader.bufferedBytes() > 0) {
@@ -278,7 +278,7 @@
     onEnd = nullptr;
     onMessage = nullptr;
     onDrained = nullptr;
-    onFarFinished = nullptr;
+    onRemoteFinished = nullptr;
     if (hook) {
         hook(m_end);
     }
--- a/tests/fuzz_wire.cpp
+++ b/tests/fuzz_wire.cpp
@@ -15,9 +15,9 @@
 constexpr int Rounds = 3000;
 constexpr std::size_t MaxMessage = 2000;
 
-auto randomBytes(std::mt19937 &random, std::size_t most) -> std::string
+auto randomBytes(std::mt19937 &random, std::size_t maxSize) -> std::string
 {
-    std::string bytes(random() % (most + 1), '\0');
+    std::string bytes(random() % (maxSize + 1), '\0');
     for (auto &byte : bytes) {
         byte = static_cast<char>(random());
     }
--- a/tests/harness_gateways.cpp
+++ b/tests/harness_gateways.cpp
@@ -92,7 +92,7 @@
     call.onHead = [reply](const HttpHead &head) {
         reply->status = head.status;
         reply->headers = head.headers;
-        return AnswerVerdict::Take;
+        return AnswerVerdict::Accept;
     };
     call.onBody = [reply](std::string_view bytes) {
         reply->body.append(bytes);
--- a/tests/rawcaller.h
+++ b/tests/rawcaller.h
@@ -13,7 +13,7 @@
 
 /// What a raw caller does after it has sent its bytes.
 enum class RawAfter {
-    Read, ///< waits for the server to close, up to `patience` seconds without a byte
+    Read, ///< waits for the server to close, up to `timeoutSeconds` seconds without a byte
     Close, ///< leaves at once
 };
 
@@ -23,11 +23,11 @@
 };
 
 /// Sends `bytes` to a port of this host and collects what comes back.
-inline auto rawCall(int port, std::string bytes, RawAfter after, int patience = 5) -> std::future<RawAnswer>
+inline auto rawCall(int port, std::string bytes, RawAfter after, int timeoutSeconds = 5) -> std::future<RawAnswer>
 {
-    return std::async(std::launch::async, [port, bytes = std::move(bytes), after, patience] {
+    return std::async(std::launch::async, [port, bytes = std::move(bytes), after, timeoutSeconds] {
         const int socketFd = socket(AF_INET, SOCK_STREAM, 0);
-        const timeval limit {patience, 0};
+        const timeval limit {timeoutSeconds, 0};
         setsockopt(socketFd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
         setsockopt(socketFd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
         sockaddr_in address {};
--- a/tests/unit_httplimits.cpp
+++ b/tests/unit_httplimits.cpp
@@ -26,13 +26,13 @@
         })
     {
     }
-    auto send(std::string bytes, RawAfter after = RawAfter::Read, int patience = 5) -> RawAnswer
+    auto send(std::string bytes, RawAfter after = RawAfter::Read, int timeoutSeconds = 5) -> RawAnswer
     {
-        auto answer = rawCall(server.port(), std::move(bytes), after, patience);
+        auto answer = rawCall(server.port(), std::move(bytes), after, timeoutSeconds);
         REQUIRE(loop.runUntil([&] { return answer.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }, Limit));
         return answer.get();
     }
-    auto isWell() -> bool
+    auto isResponsive() -> bool
     {
         const auto answer = send("GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
         return answer.text.find("200 OK") != std::string::npos;
@@ -48,7 +48,7 @@
     const auto answer = server.send("GET / HTTP/1.1\r\nhost: x\r\nx-big: " + std::string(20U << 20U, 'a') + "\r\n\r\n");
     REQUIRE(answer.isClosed);
     REQUIRE(server.handled == 0);
-    REQUIRE(server.isWell());
+    REQUIRE(server.isResponsive());
 }
 
 TEST_CASE("many headers that are too large together are turned away")
@@ -61,7 +61,7 @@
     const auto answer = server.send("GET / HTTP/1.1\r\nhost: x\r\n" + headers + "\r\n");
     REQUIRE(answer.isClosed);
     REQUIRE(server.handled == 0);
-    REQUIRE(server.isWell());
+    REQUIRE(server.isResponsive());
 }
 
 TEST_CASE("a request whose body was cut off is not handled")
@@ -69,7 +69,7 @@
     // Half a debit must not be posted.
     Server server;
     server.send("POST /debits HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\nminutes=1", RawAfter::Close);
-    REQUIRE(server.isWell());
+    REQUIRE(server.isResponsive());
     REQUIRE(server.handled == 1);
 }
 
@@ -83,7 +83,7 @@
     REQUIRE(slowHeader.get().isClosed);
     REQUIRE(slowBody.get().isClosed);
     REQUIRE(server.handled == 0);
-    REQUIRE(server.isWell());
+    REQUIRE(server.isResponsive());
 }
 
 TEST_CASE("callers over the limit of connections are turned away until there is room")
@@ -95,11 +95,11 @@
         idle.push_back(rawCall(server.server.port(), "GET / HTTP/1.1\r\nhost: x\r\n\r\n", RawAfter::Read, 1));
     }
     REQUIRE(server.loop.runUntil([&] { return server.handled == 2; }, Limit));
-    REQUIRE_FALSE(server.isWell());
+    REQUIRE_FALSE(server.isResponsive());
     for (auto &one : idle) {
         REQUIRE(server.loop.runUntil([&] { return one.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }, Limit));
     }
-    REQUIRE(server.loop.runUntil([&] { return server.isWell(); }, Limit));
+    REQUIRE(server.loop.runUntil([&] { return server.isResponsive(); }, Limit));
 }
 
 TEST_CASE("requests that follow each other on one connection are all answered, in order")
@@ -114,10 +114,10 @@
     // libwebsockets reported the end of such a body for ever: one caller could stop an entry for everybody.
     Server server;
     server.send("POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\noneextra", RawAfter::Read, 1);
-    REQUIRE(server.isWell());
+    REQUIRE(server.isResponsive());
     const std::string post = "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\none";
     server.send(post + post, RawAfter::Read, 1);
-    REQUIRE(server.isWell());
+    REQUIRE(server.isResponsive());
 }
 
 TEST_CASE("requests that make no sense are refused or closed, and never handled")
@@ -135,5 +135,5 @@
         server.send(text, RawAfter::Read, 1);
         REQUIRE(server.handled == 0);
     }
-    REQUIRE(server.isWell());
+    REQUIRE(server.isResponsive());
 }
--- a/tests/unit_tls.cpp
+++ b/tests/unit_tls.cpp
@@ -17,7 +17,7 @@
 constexpr auto Limit = Duration::seconds(20);
 
 /// Ends as the call ended, with the server's name in its certificate unchecked.
-auto callOver(EventLoop &loop, int port, const TlsFiles &tls) -> CallEnd
+auto callWithTls(EventLoop &loop, int port, const TlsFiles &tls) -> CallEnd
 {
     HttpClient client(loop, tls);
     HttpAnswer answer;
@@ -36,7 +36,7 @@
 }
 
 /// Whether a client with `clientFiles` gets through to a server with `serverFiles`.
-auto doPeersMeet(const TlsFiles &serverFiles, const TlsFiles &clientFiles) -> bool
+auto canPeersConnect(const TlsFiles &serverFiles, const TlsFiles &clientFiles) -> bool
 {
     EventLoop loop;
     bool echoed = false;
@@ -73,13 +73,13 @@
 TEST_CASE("callers are served over TLS, and only trust the authority they know")
 {
     TestAuthority authority;
-    TestAuthority stranger;
+    TestAuthority otherAuthority;
     EventLoop loop;
     const HttpServer server(loop, HttpServerOptions {.tls = authority.issue("entry")}, answerOk);
-    const TlsFiles trusting {.authority = authority.issue("x").authority};
-    const TlsFiles wary {.authority = stranger.issue("x").authority};
-    REQUIRE(callOver(loop, server.port(), trusting) == CallEnd::Complete);
-    REQUIRE(callOver(loop, server.port(), wary) == CallEnd::NotSent);
+    const TlsFiles trustedFiles {.authority = authority.issue("x").authority};
+    const TlsFiles otherFiles {.authority = otherAuthority.issue("x").authority};
+    REQUIRE(callWithTls(loop, server.port(), trustedFiles) == CallEnd::Complete);
+    REQUIRE(callWithTls(loop, server.port(), otherFiles) == CallEnd::NotSent);
 }
 
 TEST_CASE("a plain caller of a TLS port is closed and harms nobody")
@@ -87,26 +87,26 @@
     TestAuthority authority;
     EventLoop loop;
     const HttpServer server(loop, HttpServerOptions {.tls = authority.issue("entry")}, answerOk);
-    REQUIRE(callOver(loop, server.port(), {}) != CallEnd::Complete);
-    REQUIRE(callOver(loop, server.port(), {.authority = authority.issue("x").authority}) == CallEnd::Complete);
+    REQUIRE(callWithTls(loop, server.port(), {}) != CallEnd::Complete);
+    REQUIRE(callWithTls(loop, server.port(), {.authority = authority.issue("x").authority}) == CallEnd::Complete);
 }
 
 TEST_CASE("peers meet only if both sides' certificates are signed by the authority")
 {
     // Whoever can reach an agent's port could otherwise order work on its target, or pose as the agent and take callers' requests.
     TestAuthority authority;
-    TestAuthority stranger;
+    TestAuthority otherAuthority;
     const auto agent = authority.issue("agent");
     const auto entry = authority.issue("entry");
-    auto impostor = stranger.issue("impostor");
+    auto impostor = otherAuthority.issue("impostor");
     impostor.authority = entry.authority;
     const TlsFiles anonymous {.authority = entry.authority};
-    REQUIRE(doPeersMeet(agent, entry));
-    REQUIRE_FALSE(doPeersMeet(agent, impostor));
-    REQUIRE_FALSE(doPeersMeet(impostor, entry));
-    REQUIRE_FALSE(doPeersMeet(agent, anonymous));
-    REQUIRE_FALSE(doPeersMeet(agent, {}));
-    REQUIRE_FALSE(doPeersMeet({}, entry));
+    REQUIRE(canPeersConnect(agent, entry));
+    REQUIRE_FALSE(canPeersConnect(agent, impostor));
+    REQUIRE_FALSE(canPeersConnect(impostor, entry));
+    REQUIRE_FALSE(canPeersConnect(agent, anonymous));
+    REQUIRE_FALSE(canPeersConnect(agent, {}));
+    REQUIRE_FALSE(canPeersConnect({}, entry));
 }
 
 TEST_CASE("renewed certificates are taken without a restart")
@@ -131,12 +131,12 @@
     EventLoop loop;
     const HttpServer server(loop, HttpServerOptions {.tls = files, .tlsCheck = Duration::millis(5)}, answerOk);
     const TlsFiles newTrust {.authority = renewed.issue("entry").authority};
-    REQUIRE(callOver(loop, server.port(), newTrust) == CallEnd::NotSent);
+    REQUIRE(callWithTls(loop, server.port(), newTrust) == CallEnd::NotSent);
     const auto fresh = renewed.issue("entry");
     std::filesystem::copy_file(fresh.certificate, files.certificate, std::filesystem::copy_options::overwrite_existing);
     std::filesystem::copy_file(fresh.key, files.key, std::filesystem::copy_options::overwrite_existing);
     loop.runUntil([] { return false; }, Duration::millis(100));
-    REQUIRE(callOver(loop, server.port(), newTrust) == CallEnd::Complete);
+    REQUIRE(callWithTls(loop, server.port(), newTrust) == CallEnd::Complete);
 }
 
 TEST_CASE("files that don't fit together are not taken")
--- a/tests/unit_wire.cpp
+++ b/tests/unit_wire.cpp
@@ -33,11 +33,11 @@
 }
 
 /// A stream with what it has seen.
-struct Watched {
+struct StreamRecorder {
     PeerStreamPtr stream;
     std::vector<std::string> bodies;
     std::size_t received = 0;
-    bool farFinished = false;
+    bool remoteFinished = false;
     int ends = 0;
     StreamEnd end = StreamEnd::Complete;
 
@@ -48,8 +48,8 @@
             bodies.push_back(bodyOf(message));
             received += bodies.back().size();
         };
-        stream->onFarFinished = [this] {
-            farFinished = true;
+        stream->onRemoteFinished = [this] {
+            remoteFinished = true;
         };
         stream->onEnd = [this](StreamEnd how) {
             ++ends;
@@ -64,7 +64,7 @@
     stream->onMessage = [weak = std::weak_ptr(stream)](std::string_view message) {
         weak.lock()->send(dataMessage(bodyOf(message)));
     };
-    stream->onFarFinished = [weak = std::weak_ptr(stream)] {
+    stream->onRemoteFinished = [weak = std::weak_ptr(stream)] {
         weak.lock()->finish();
     };
 }
@@ -141,7 +141,7 @@
 TEST_CASE("messages come back whole and in order, and the stream ends complete")
 {
     Peers peers;
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     for (int i = 0; i < 100; ++i) {
         watched.stream->send(dataMessage("message " + std::to_string(i)));
@@ -149,7 +149,7 @@
     watched.stream->finish();
     REQUIRE(peers.waitFor([&] { return watched.ends > 0; }));
     REQUIRE(watched.end == StreamEnd::Complete);
-    REQUIRE(watched.farFinished);
+    REQUIRE(watched.remoteFinished);
     REQUIRE(watched.bodies.size() == 100);
     REQUIRE(watched.bodies[99] == "message 99");
     REQUIRE_FALSE(watched.stream->isOpen());
@@ -159,14 +159,14 @@
 {
     Peers peers;
     constexpr int Count = 1000;
-    std::vector<Watched> all(Count);
+    std::vector<StreamRecorder> all(Count);
     for (int i = 0; i < Count; ++i) {
         auto &watched = all[static_cast<std::size_t>(i)];
         watched.watch(peers.client->open("/request"));
         watched.stream->send(dataMessage(std::to_string(i)));
         watched.stream->finish();
     }
-    REQUIRE(peers.waitFor([&] { return std::all_of(all.begin(), all.end(), [](const Watched &one) { return one.ends == 1; }); }));
+    REQUIRE(peers.waitFor([&] { return std::all_of(all.begin(), all.end(), [](const StreamRecorder &one) { return one.ends == 1; }); }));
     for (int i = 0; i < Count; ++i) {
         REQUIRE(all[static_cast<std::size_t>(i)].bodies == std::vector<std::string> {std::to_string(i)});
     }
@@ -175,7 +175,7 @@
 TEST_CASE("a large message passes a small window")
 {
     Peers peers(PeerOptions {.streamWindow = 64U << 10U});
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     bool drained = false;
     watched.stream->onDrained = [&] {
@@ -204,7 +204,7 @@
         }
         stream->finish();
     };
-    Watched slow;
+    StreamRecorder slow;
     slow.watch(peers.client->open("/slow"));
     slow.stream->pause();
     REQUIRE(peers.waitFor([&] { return served.count("/slow") == 1; }));
@@ -212,7 +212,7 @@
     REQUIRE(slow.bodies.empty());
     REQUIRE(served["/slow"]->pendingBytes() > Messages * 1000 - 2 * Window);
 
-    Watched other;
+    StreamRecorder other;
     other.watch(peers.client->open("/other"));
     other.stream->finish();
     REQUIRE(peers.waitFor([&] { return other.ends == 1; }));
@@ -228,7 +228,7 @@
 TEST_CASE("a reader may pause from within a message")
 {
     Peers peers;
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     int taken = 0;
     watched.stream->onMessage = [&](std::string_view) {
@@ -253,11 +253,11 @@
 TEST_CASE("a stream that is reset ends as broken at both sides")
 {
     Peers peers;
-    Watched served;
+    StreamRecorder served;
     peers.onStream = [&](const PeerStreamPtr &stream) {
         served.watch(stream);
     };
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     REQUIRE(peers.waitFor([&] { return served.stream != nullptr; }));
     watched.stream->reset();
@@ -273,7 +273,7 @@
     peers.onStream = [](const PeerStreamPtr &stream) {
         stream->refuse();
     };
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     watched.stream->send(dataMessage("never taken"));
     REQUIRE(peers.waitFor([&] { return watched.ends == 1; }));
@@ -290,7 +290,7 @@
             weak.lock()->refuse();
         };
     };
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     REQUIRE(peers.waitFor([&] { return watched.ends == 1; }));
     REQUIRE(watched.end == StreamEnd::Broken);
@@ -299,7 +299,7 @@
 TEST_CASE("a stream that was opened but never sent ends as refused")
 {
     Peers peers;
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     watched.stream->send(dataMessage("never sent"));
     peers.client->reconnect();
@@ -318,7 +318,7 @@
     PeerClient client(loop, Endpoint {"127.0.0.1", port});
     int ups = 0;
     int downs = 0;
-    std::vector<Watched> all(10);
+    std::vector<StreamRecorder> all(10);
     int endsAtDown = 0;
     client.onUp = [&] {
         ++ups;
@@ -334,7 +334,7 @@
         watched.watch(client.open("/request"));
         watched.stream->send(dataMessage("echoed"));
     }
-    REQUIRE(loop.runUntil([&] { return std::all_of(all.begin(), all.end(), [](const Watched &one) { return one.received > 0; }); }, Limit));
+    REQUIRE(loop.runUntil([&] { return std::all_of(all.begin(), all.end(), [](const StreamRecorder &one) { return one.received > 0; }); }, Limit));
 
     server.reset();
     REQUIRE(loop.runUntil([&] { return downs == 1; }, Limit));
@@ -353,11 +353,11 @@
 TEST_CASE("a client that goes ends its streams at the server")
 {
     Peers peers;
-    Watched served;
+    StreamRecorder served;
     peers.onStream = [&](const PeerStreamPtr &stream) {
         served.watch(stream);
     };
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     REQUIRE(peers.waitFor([&] { return served.stream != nullptr; }));
     peers.client.reset();
@@ -369,7 +369,7 @@
 TEST_CASE("a message over the limit breaks the connection")
 {
     Peers peers(PeerOptions {.maxMessage = 1000});
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     watched.stream->send(dataMessage(std::string(2000, 'x')));
     REQUIRE(peers.waitFor([&] { return peers.downs == 1; }));
@@ -406,7 +406,7 @@
     REQUIRE(peers.waitFor([&] { return done; }));
     REQUIRE(answer.end == CallEnd::Broken);
     REQUIRE(peers.waitFor([&] { return peers.server->connections() == 1; }));
-    Watched watched;
+    StreamRecorder watched;
     watched.watch(peers.client->open("/request"));
     watched.stream->finish();
     REQUIRE(peers.waitFor([&] { return watched.ends == 1; }));
