--- a/src/net/eventlog.cpp
+++ b/src/net/eventlog.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// A pipe that says it is writable takes this many bytes without blocking (PIPE_BUF of POSIX on Linux).
+/// A pipe that polls as writable accepts this many bytes without blocking (PIPE_BUF on Linux).
 constexpr std::size_t WriteBytes = 4096;
 
 auto needsQuotes(std::string_view text) -> bool
@@ -118,7 +118,7 @@
     std::string pending;
     Timer flushTimer;
     TimePoint refilledAt;
-    double allowance = 0; // lines that may be written now
+    double allowance = 0; // token bucket: lines that may be written now
     std::uint64_t dropped = 0;
     std::uint64_t unreportedDrops = 0;
 
--- a/src/net/eventlog.h
+++ b/src/net/eventlog.h
@@ -1,12 +1,12 @@
-// Structured log lines on standard output, "key=value" separated by blanks: one line for each decision that touches a request or changes
-// what the process believes.
+// Structured log lines on standard output, "key=value" separated by blanks: one line for each decision that affects a request or changes
+// the state of the process.
 //
-// Lines are gathered and written a few times a second. Writing never blocks: when the reader of our output stops reading, or lines come
-// faster than the allowed rate, further ones are dropped and a line says how many. A process that waited for its log would hold up
-// every request, and one would notice it only as lateness everywhere.
+// Lines are buffered and written a few times a second. Writing never blocks: when the reader of the output stops reading, or lines come
+// faster than the allowed rate, further lines are dropped and a line reports how many. A blocking write to the log would delay every
+// request of the process, with nothing but the higher latency to show why.
 //
 // Index of sections (search for [SECTION]):
-//   LogLine    one line while it is put together
+//   LogLine    one line while it is being composed
 //   EventLog   the writer
 #pragma once
 
@@ -25,7 +25,7 @@
 
 // [SECTION] LogLine
 
-/// Written when it goes out of scope: log.line("routing", "chosen").add("id", id).add("target", target);
+/// Appended to the log when it goes out of scope: log.line("routing", "chosen").add("id", id).add("target", target);
 class LogLine
 {
 public:
@@ -34,7 +34,7 @@
     LogLine(const LogLine &) = delete;
     auto operator=(const LogLine &) -> LogLine & = delete;
 
-    auto add(std::string_view key, std::string_view value) -> LogLine &; ///< quoted where it needs to be
+    auto add(std::string_view key, std::string_view value) -> LogLine &; ///< quoted if needed
     auto add(std::string_view key, const char *value) -> LogLine &;
     auto add(std::string_view key, std::int64_t value) -> LogLine &;
     auto add(std::string_view key, int value) -> LogLine &;
@@ -52,10 +52,10 @@
 
 struct EventLogOptions {
     int descriptor = 1;
-    std::string host; ///< stands in every line
-    double linesPerSecond = 1500; ///< more are dropped; some ten lines for each request at the design's peak of an entry
-    double burst = 4000; ///< lines beyond the rate
-    std::size_t maxPending = 1U << 20U; ///< bytes not yet taken by the reader; more are dropped
+    std::string host; ///< written into every line
+    double linesPerSecond = 1500; ///< further lines are dropped; allows about ten lines per request at the peak load that a gateway is designed for
+    double burst = 4000; ///< lines that may exceed the rate at once (token bucket)
+    std::size_t maxPending = 1U << 20U; ///< bytes not yet written; while there are more, lines are dropped
     Duration flushPeriod = Duration::millis(50);
 };
 
@@ -63,7 +63,7 @@
 {
 public:
     EventLog(EventLoop &loop, EventLogOptions options);
-    ~EventLog(); ///< writes what is left, as far as it goes without blocking
+    ~EventLog(); ///< writes what is buffered, as far as possible without blocking
     EventLog(const EventLog &) = delete;
     auto operator=(const EventLog &) -> EventLog & = delete;
 
--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -17,10 +17,10 @@
 namespace
 {
 
-/// libwebsockets sizes tables by the limit on open files; the platform's may be a million, which would cost memory.
+/// libwebsockets sizes tables by the limit on open files. The system's limit may be a million, which would waste memory.
 constexpr rlim_t MaxDescriptors = 8192;
 constexpr unsigned ServiceBufferBytes = 16384;
-/// All headers of one request or answer together; callers with more are refused.
+/// All headers of one request or answer together; requests with more are refused.
 constexpr unsigned short MaxHeaderBytes = 16384;
 
 auto forwardLwsLog(int level, const char *line) -> void
@@ -35,10 +35,10 @@
 namespace
 {
 
-/// What a loop shares with its timers, which may outlive it.
+/// State that a loop shares with its timers, which may outlive it.
 struct LoopState {
     bool alive = true;
-    bool watched = false; // runUntil() wants to look after each event
+    bool watched = false; // runUntil() is active and checks its condition after each event
 };
 
 } // namespace
@@ -46,7 +46,7 @@
 // [SECTION] Timer
 
 struct Timer::Private {
-    lws_sorted_usec_list_t entry {}; // first member: libwebsockets hands it back
+    lws_sorted_usec_list_t entry {}; // must be the first member: libwebsockets passes a pointer to it to fire(), which casts it to Private
     lws_context *context = nullptr;
     EventLoop::Task task;
     Duration period; // 0: once
@@ -68,14 +68,14 @@
     if (self->period > Duration()) {
         self->schedule(self->period);
     }
-    // The task may destroy this timer, and with it the stored function: run a copy.
+    // The task may destroy this timer and with it the stored function, so a copy is run.
     const auto task = self->task;
     const auto life = self->life;
     auto *context = self->context;
     task();
     if (life->watched) {
-        // libwebsockets goes on to wait for the next event in the same call: without this, what the task changed would be looked
-        // at only after that, up to 30 s later.
+        // libwebsockets goes on to wait for the next event in the same call. Without this wake-up, runUntil() would check its
+        // condition only after that event, up to 30 s later.
         lws_cancel_service(context);
     }
 }
@@ -107,7 +107,7 @@
     if (d && d->active && d->life->alive) {
         lws_sul_cancel(&d->entry);
     }
-    d.reset(); // with the task: it may hold the timer's owner
+    d.reset(); // also destroys the task, which may own the timer's owner
 }
 
 // [SECTION] EventLoop
@@ -115,7 +115,7 @@
 struct EventLoop::Private {
     lws_context *context = nullptr;
     std::atomic<bool> stopping = false;
-    std::mutex mutex; // guards tasks: the only state that other threads touch
+    std::mutex mutex; // guards `tasks`, the only state that other threads access
     std::deque<Task> tasks;
     std::shared_ptr<LoopState> life = std::make_shared<LoopState>();
 
@@ -137,7 +137,7 @@
     }
     auto step() -> void
     {
-        // Tasks come last: whoever waits for what they do looks right after them, and not only at the next event.
+        // Tasks run last, so that runUntil() checks its condition right after them and not only after the next event.
         if (!stopping) {
             lws_service(context, hasTasks() ? -1 : 0);
         }
@@ -148,8 +148,8 @@
 namespace
 {
 
-/// Lowers this process's limit. With a limit of its own, libwebsockets would look each descriptor up by going through the
-/// whole table, at every event.
+/// Lowers this process's limit on open files. If libwebsockets were given a lower limit of its own instead, it would find each
+/// descriptor by a linear search through the whole table, at every event.
 auto limitDescriptors() -> void
 {
     rlimit limit {};
@@ -243,7 +243,7 @@
 auto EventLoop::now() const -> TimePoint
 {
     timespec time {};
-    clock_gettime(CLOCK_BOOTTIME, &time); // leases and deadlines go on while a host is suspended
+    clock_gettime(CLOCK_BOOTTIME, &time); // advances while a host is suspended, as leases and deadlines must
     constexpr std::int64_t MicrosPerSecond = 1000000;
     constexpr std::int64_t NanosPerMicro = 1000;
     return TimePoint::fromMicros(time.tv_sec * MicrosPerSecond + time.tv_nsec / NanosPerMicro);
@@ -256,7 +256,7 @@
 
 auto onSignals(EventLoop &loop, std::function<void()> onStop, std::function<void()> onReload) -> void
 {
-    // A thread that waits for the signals may take locks, which a signal handler may not.
+    // Signals are received by a thread that waits for them: unlike a signal handler, it may take locks.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
--- a/src/net/eventloop.h
+++ b/src/net/eventloop.h
@@ -1,11 +1,10 @@
-// The event loop of a process: one libwebsockets context, its timers, and a mailbox.
+// The event loop of a process: a libwebsockets context, its timers, and a queue of posted tasks.
 //
-// Everything in a process that owns a socket runs on one loop, in one thread; parts talk to each other by posting messages
-// to the loop. Only post() and stop() may be called from other threads. A callback must not block: it holds up every
-// socket of the process.
+// All code of a process that owns a socket runs on one loop, in one thread; other threads hand work to it by posting tasks.
+// Only post() and stop() may be called from other threads. A callback must not block: it would delay every socket of the process.
 //
 // Index of sections (search for [SECTION]):
-//   Timer       a scheduled call that is forgotten when its handle goes
+//   Timer       a scheduled call that is cancelled when its handle is destroyed
 //   EventLoop   run, post, after
 #pragma once
 
@@ -53,23 +52,23 @@
     EventLoop(const EventLoop &) = delete;
     auto operator=(const EventLoop &) -> EventLoop & = delete;
 
-    /// Runs until stop(). Returns after the current callback.
+    /// Runs until stop() is called; returns once the current callback has returned.
     auto run() -> void;
-    /// Runs until `done` holds (checked after each event) or `limit` has passed; for tests and tools. True if it held.
+    /// Runs until `done` returns true (checked after each event) or `limit` has passed; for tests and tools. Returns whether `done` was met.
     auto runUntil(const std::function<bool()> &done, Duration limit) -> bool;
-    /// Any thread. Ends run().
+    /// Ends run(). May be called from any thread.
     auto stop() -> void;
-    /// Any thread. The task runs on the loop, after tasks posted earlier.
+    /// Runs the task on the loop, after the tasks posted earlier. May be called from any thread.
     auto post(Task task) -> void;
 
-    /// Calls `task` once, `delay` from now, unless the timer goes first.
+    /// Calls `task` once, `delay` from now, unless the timer is cancelled or destroyed before.
     [[nodiscard]] auto after(Duration delay, Task task) -> Timer;
-    /// Calls `task` every `period` until the timer goes.
+    /// Calls `task` every `period` until the timer is cancelled or destroyed.
     [[nodiscard]] auto every(Duration period, Task task) -> Timer;
 
-    /// Monotonic time of this process.
+    /// Monotonic time. It advances while the host is suspended.
     auto now() const -> TimePoint;
-    /// For the parts that open sockets.
+    /// The libwebsockets context, for code that opens sockets.
     auto context() const -> lws_context *;
 
 private:
@@ -77,7 +76,7 @@
     std::unique_ptr<Private> d;
 };
 
-/// Calls `onStop` on the loop at SIGTERM and SIGINT, and `onReload`, if there is one, at SIGHUP; once per signal. One per process.
+/// Calls `onStop` on the loop at SIGTERM and SIGINT, and `onReload`, if set, at SIGHUP; once per signal. To be called once per process.
 auto onSignals(EventLoop &loop, std::function<void()> onStop, std::function<void()> onReload = {}) -> void;
 
 } // namespace KingCup
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,9 +1,9 @@
-// HTTP over libwebsockets: a server and a client on an event loop. Bodies of requests are bounded and whole; bodies of
-// answers may stream, with back-pressure both ways.
+// HTTP over libwebsockets: a server and a client on an event loop. Request bodies are limited in size and buffered whole;
+// answer bodies may be streamed, with back-pressure in the server and in the client.
 //
 // Index of sections (search for [SECTION]):
 //   Basics     headers
-//   Server     HttpServer hands each request to a hook as an HttpExchange
+//   Server     HttpServer passes each request to a handler as an HttpExchange
 //   Client     HttpClient::start() makes a call and returns its handle
 #pragma once
 
@@ -37,14 +37,14 @@
 
 struct HttpRequest {
     std::string method; ///< "GET", "POST", ...
-    std::string path; ///< without the query; percent-encoded, so that it can be passed on
-    std::string query; ///< "a=1&b=2", percent-encoded likewise
-    HttpHeaders headers; ///< those that the server keeps
+    std::string path; ///< without the query; percent-encoded, so that it can be forwarded
+    std::string query; ///< "a=1&b=2", percent-encoded
+    HttpHeaders headers; ///< content-type, content-length, accept and HttpServerOptions::keptHeaders
     std::string body;
-    std::string peer; ///< the caller's IP number
+    std::string peer; ///< the caller's IP address
 };
 
-/// One request and its answer. Shared by the server and whoever answers; after the caller has left, writes do nothing.
+/// One request and its answer. Shared by the server and the code that answers; once the caller has disconnected, writes do nothing.
 class HttpExchange
 {
 public:
@@ -54,34 +54,34 @@
     auto operator=(const HttpExchange &) -> HttpExchange & = delete;
 
     auto request() const -> const HttpRequest &;
-    auto isOpen() const -> bool; ///< the caller is still there and the answer isn't finished
-    auto hasBegun() const -> bool; ///< the status line was given
-    auto pendingBytes() const -> std::size_t; ///< written, not yet taken by the socket
+    auto isOpen() const -> bool; ///< the caller is still connected and the answer isn't finished
+    auto hasBegun() const -> bool; ///< begin() or respond() was called
+    auto pendingBytes() const -> std::size_t; ///< written, not yet accepted by the socket
 
-    /// The whole answer at once.
+    /// Sends the whole answer at once.
     auto respond(int status, HttpHeaders headers, std::string body) -> void;
-    /// A streamed answer: begin, any number of writes, finish. Without finish() the caller sees a broken transfer.
+    /// Sends a streamed answer: begin(), any number of write(), finish(). Without finish() the caller sees an incomplete transfer.
     auto begin(int status, HttpHeaders headers) -> void;
     auto write(std::string_view data) -> void;
     auto finish() -> void;
-    /// Cuts the connection without the end marker: the caller can tell that the answer isn't whole.
+    /// Closes the connection without the end marker, so that the caller can tell that the answer is incomplete.
     auto abort() -> void;
 
-    std::function<void()> onClosed; ///< the caller left before the answer was finished
-    std::function<void()> onDrained; ///< everything written so far was taken by the socket
+    std::function<void()> onClosed; ///< the caller disconnected before the answer was finished
+    std::function<void()> onDrained; ///< everything written so far was accepted by the socket
 
     struct Private;
     std::unique_ptr<Private> d;
 };
 
 struct HttpServerOptions {
-    Endpoint listen; ///< port 0 lets the system choose; see HttpServer::port()
+    Endpoint listen; ///< port 0: chosen by the system, see HttpServer::port()
     TlsFiles tls;
-    std::vector<std::string> keptHeaders; ///< lower-case names, beyond content-type, content-length and accept
+    std::vector<std::string> keptHeaders; ///< lower-case names of request headers to keep besides content-type, content-length and accept
     std::size_t maxBody = 8U << 20U; ///< bytes; larger requests get 413
-    int maxConnections = 4096; ///< further callers are rejected
-    Duration tlsCheck = Duration::seconds(10); ///< between two looks whether the TLS files were renewed
-    Duration headerTimeout = Duration::seconds(10); ///< between two pieces of a request, rounded up by libwebsockets; slower callers are cut off
+    int maxConnections = 4096; ///< further connections are rejected
+    Duration tlsCheck = Duration::seconds(10); ///< period of the check for renewed TLS files
+    Duration headerTimeout = Duration::seconds(10); ///< between two pieces of a request, rounded up by libwebsockets; slower callers are disconnected
 };
 
 class HttpServer
@@ -89,14 +89,14 @@
 public:
     using Handler = std::function<void(const std::shared_ptr<HttpExchange> &)>;
 
-    /// Listens at once; throws std::runtime_error if the port is taken.
+    /// Starts to listen; throws std::runtime_error if the port is in use.
     HttpServer(EventLoop &loop, HttpServerOptions options, Handler handler);
     ~HttpServer();
 
     auto port() const -> int;
-    auto openExchanges() const -> std::size_t; ///< requests not yet answered whole
+    auto openExchanges() const -> std::size_t; ///< requests whose answers are not yet complete
     auto refusedRequests() const -> std::uint64_t; ///< too large or malformed, answered without the handler
-    /// Stops accepting; open exchanges go on.
+    /// Stops accepting connections; open exchanges go on.
     auto close() -> void;
 
     struct Private;
@@ -110,34 +110,34 @@
 /// How a call ended.
 enum class CallEnd {
     Complete, ///< the whole answer arrived
-    NotSent, ///< no connection, or none in time: the server can't have seen the request
-    Broken, ///< sent in part or whole, answer missing or cut short: effect unknown
-    Timeout, ///< as Broken, by the clock
-    Cancelled, ///< by us
+    NotSent, ///< not connected, or not in time: the server can't have received the request
+    Broken, ///< the request was sent in part or whole, the answer is missing or incomplete: effect unknown
+    Timeout, ///< as Broken, because the timeout expired
+    Cancelled, ///< by cancel()
 };
 auto toString(CallEnd end) -> const char *;
 
 struct HttpCall {
     Endpoint server;
     std::string method = "GET";
-    std::string path = "/"; ///< with query
+    std::string path = "/"; ///< including the query
     HttpHeaders headers;
     std::string body;
-    Duration timeout = Duration::seconds(30); ///< from start to the last byte; 0: none
-    std::vector<std::string> keptHeaders; ///< of the answer, beyond content-type
+    Duration timeout = Duration::seconds(30); ///< from start() to the last byte of the answer; 0: none
+    std::vector<std::string> keptHeaders; ///< lower-case names of answer headers to keep besides content-type
 
     std::function<void(int status, const HttpHeaders &headers)> onHead;
     std::function<void(std::string_view data)> onData;
     std::function<void(CallEnd end)> onEnd; ///< exactly once, also after cancel()
 };
 
-/// A call in flight. Dropping the handle doesn't end the call; cancel() does.
+/// A call in flight. Destroying the handle doesn't end the call; cancel() does.
 class HttpCallHandle
 {
 public:
     virtual ~HttpCallHandle() = default;
     virtual auto cancel() -> void = 0;
-    virtual auto pause() -> void = 0; ///< stops reading: the server is held back
+    virtual auto pause() -> void = 0; ///< stops reading, so that flow control stops the server
     virtual auto resume() -> void = 0;
 };
 
@@ -149,7 +149,7 @@
     explicit HttpClient(EventLoop &loop, const TlsFiles &tls = {});
     ~HttpClient();
 
-    /// Never calls a hook before it has returned.
+    /// Starts a call. No hook is called before start() has returned.
     auto start(HttpCall call) -> std::shared_ptr<HttpCallHandle>;
     auto callsInFlight() const -> std::size_t;
 
@@ -159,14 +159,14 @@
     std::unique_ptr<Private> d;
 };
 
-/// The whole answer of a short call; status 0 if there was none.
+/// The buffered answer of a short call; status 0 if there was none.
 struct HttpAnswer {
     CallEnd end = CallEnd::Broken;
     int status = 0;
     HttpHeaders headers;
     std::string body;
 };
-/// Collects the answer and calls `done` once. The body is bounded by `maxBody`; a larger one ends the call as Broken.
+/// Starts a call, buffers its answer and calls `done` once. A body larger than `maxBody` ends the call as Broken.
 auto startShortCall(HttpClient &client, HttpCall call, std::function<void(const HttpAnswer &)> done, std::size_t maxBody = 64U << 20U)
     -> std::shared_ptr<HttpCallHandle>;
 
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -1,4 +1,4 @@
-// The client half of net/http.h. Each call has a connection of its own.
+// Implements the client of net/http.h. Each call opens a new connection.
 #include "net/http.h"
 #include "net/lwsheaders.h"
 #include "net/tls.h"
@@ -42,14 +42,14 @@
 };
 
 struct HttpClient::Private::Call : HttpCallHandle, std::enable_shared_from_this<Call> {
-    Private *client = nullptr; // null once ended
+    Private *client = nullptr; // null once the call has ended
     HttpCall call;
     lws *wsi = nullptr;
     Timer timer;
-    bool sent = false; // the far side may have seen the request
+    bool sent = false; // the server may have received the request
     bool headSeen = false;
-    bool cutOff = false; // the server closed while more was due
-    bool dataInRead = false; // the read under way has brought some of the body
+    bool cutOff = false; // the server has closed the connection and nothing is left to read from the socket
+    bool dataInRead = false; // the current read has delivered a part of the body
     bool complete = false;
     bool ended = false;
     bool paused = false;
@@ -86,7 +86,7 @@
     auto onClosed() -> void;
 };
 
-/// Tells the caller once, from the loop and never from within its own call, and lets the connection go.
+/// Closes the connection and calls onEnd once, by a posted task and so never from within a call of the user.
 auto HttpClient::Private::Call::end(CallEnd how) -> void
 {
     if (ended) {
@@ -112,8 +112,8 @@
     });
 }
 
-/// libwebsockets ends calls whose answer takes longer than its own limit; the call's timer is the only one wanted here.
-/// It arms its limit after our callback has returned, hence the post.
+/// Clears the timeout of libwebsockets for answers: only the call's own timer is to limit it. libwebsockets sets its timeout after the
+/// callback has returned, so this is done by a posted task.
 auto HttpClient::Private::Call::clearLibraryTimeout() -> void
 {
     client->loop.post([self = shared_from_this()] {
@@ -196,8 +196,8 @@
     std::array<char, LWS_PRE + ReadBufferBytes> buffer {};
     char *at = buffer.data() + LWS_PRE;
     int length = ReadBufferBytes;
-    // When the connection closes in the middle of a chunked answer, libwebsockets reports it as completed, and the part would
-    // pass for the whole. But then there is nothing left to read, neither here nor in what came along with the head.
+    // When the connection closes in the middle of a chunked answer, libwebsockets reports it as completed, and a partial answer would
+    // be taken for complete. That case is recognised by the closed socket here and by the lack of body bytes in this read.
     char byte = 0;
     dataInRead = false;
     cutOff = recv(lws_get_socket_fd(wsi), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
--- a/src/net/httppool.cpp
+++ b/src/net/httppool.cpp
@@ -1,6 +1,6 @@
 // Index of sections (search for [SECTION]):
 //   Connection   one connection and the call on it
-//   Pool         which connection a call takes
+//   Pool         choice of a connection for a call
 #include "net/httppool.h"
 
 #include <algorithm>
@@ -18,9 +18,9 @@
 namespace
 {
 
-constexpr int FirstFinalStatus = 200; ///< below are interim answers
+constexpr int FirstFinalStatus = 200; ///< lower codes are interim answers
 
-/// The timeout that a Keep-Alive header states; nothing if it has none.
+/// The timeout in the Keep-Alive header; nothing if there is none.
 auto keepAliveTimeout(const HttpHeaders &headers) -> std::optional<Duration>
 {
     const auto value = findHeader(headers, "keep-alive");
@@ -71,23 +71,23 @@
     auto onData(std::string_view bytes) -> void;
     auto onHead() -> void;
     auto onClosed(TcpEnd how) -> void;
-    auto onAnswered(bool reusable) -> void;
+    auto onAnswered(bool noBytesFollow) -> void;
     auto finish(CallEnd end, TcpEnd how) -> void;
     auto prepareReader() -> void;
 
-    HttpPool::Private *m_pool; ///< null once the connection has left it
+    HttpPool::Private *m_pool; ///< null once the connection was removed from the pool
     EventLoop &m_loop;
     Endpoint m_server;
     std::unique_ptr<TcpStream> m_stream; ///< null once closed
     HttpReader m_reader;
-    std::shared_ptr<PooledCall> m_call; ///< shared, so that a hook that cancels the call doesn't destroy itself
+    std::shared_ptr<PooledCall> m_call; ///< shared: a hook that cancels the call must not destroy itself while it runs
     AnswerVerdict m_verdict = AnswerVerdict::Accept;
     bool m_busy = false;
-    int m_calls = 0; ///< started on this connection
-    int m_skipped = 0; ///< late answers during this call
+    int m_calls = 0; ///< calls started on this connection
+    int m_skipped = 0; ///< late answers skipped during this call
     bool m_wasSent = false;
     TimePoint m_idleSince;
-    Duration m_idleBefore; ///< before the call that runs
+    Duration m_idleBefore; ///< idle time before the current call
     TimePoint m_idleUntil;
 };
 
@@ -97,7 +97,7 @@
     EventLoop &loop;
     HttpPoolOptions options;
     HttpPoolCounts counts;
-    std::map<Endpoint, std::vector<std::shared_ptr<PoolConnection>>> connections; ///< by server, the last used last
+    std::map<Endpoint, std::vector<std::shared_ptr<PoolConnection>>> connections; ///< by server, the most recently used last
     Timer sweep;
 
     Private(EventLoop &ownerLoop, HttpPoolOptions poolOptions)
@@ -176,7 +176,7 @@
 
 auto PoolConnection::wasSent() const -> bool
 {
-    // On a kept connection the bytes went into the system's buffers at once.
+    // On a reused connection the kernel accepted the bytes at once, so the call counts as sent.
     return m_wasSent || (m_busy && m_stream && (m_calls > 1 || m_stream->hasSent()));
 }
 
@@ -235,7 +235,7 @@
     while (!bytes.empty() && m_stream) {
         if (!m_busy) {
             ++m_pool->counts.strayAnswers;
-            VLOG(1) << "net: bytes when no answer was due server=" << toString(m_server) << " bytes=" << bytes.size();
+            VLOG(1) << "net: unexpected bytes server=" << toString(m_server) << " bytes=" << bytes.size();
             close();
             return;
         }
@@ -267,11 +267,12 @@
     }
 }
 
-/// The answer is whole. `noBytesFollow`: nothing came behind it.
+/// The answer is complete. `noBytesFollow`: no bytes were received after it.
 auto PoolConnection::onAnswered(bool noBytesFollow) -> void
 {
     const auto &head = m_reader.head();
-    // A server may answer before it has read the call: the rest of the body is still due then, and a next call would be read as that.
+    // A server may answer before it has read the whole call. The rest of the body is then still to be sent, and the server would take the
+    // next call for that rest.
     const bool isReusable = noBytesFollow && head.keepsConnection && m_stream->pendingBytes() == 0 && !m_reader.endsWithConnection();
     if (!noBytesFollow) {
         ++m_pool->counts.strayAnswers;
@@ -304,7 +305,7 @@
         close();
         return;
     }
-    // Without a length an answer is whole only if the connection was closed in order.
+    // An answer without a length is complete only if the connection was closed in order.
     if (how == TcpEnd::Closed && m_reader.endsWithConnection() && m_verdict == AnswerVerdict::Accept && m_reader.feedEnd()) {
         finish(CallEnd::Complete, how);
         return;
@@ -336,7 +337,7 @@
     const auto fits = [&](const auto &connection) {
         return connection->isUsableAt(now) && now - connection->idleSince() < maxIdleTime;
     };
-    const auto match = std::find_if(list.rbegin(), list.rend(), fits); // the last used is the least likely to be dead
+    const auto match = std::find_if(list.rbegin(), list.rend(), fits); // the most recently used connection is the least likely to be dead
     return match == list.rend() ? nullptr : *match;
 }
 
--- a/src/net/httppool.h
+++ b/src/net/httppool.h
@@ -1,11 +1,11 @@
-// An HTTP/1.1 client over kept connections: one call at a time on each, used again when its answer has come whole.
+// An HTTP/1.1 client over persistent connections: one call at a time on each; a connection is reused once its answer is complete.
 //
-// A connection that was kept may have been closed, reset or gone silent meanwhile; the server may also have sent a late answer to an
-// earlier call. So a call says how long a connection may have lain idle, and looks at each answer's head before it takes it for its own.
-// Bytes that come when no answer is due belong to nobody: the connection is closed.
+// An idle connection may have been closed or reset meanwhile, or its server may be unreachable; a server may also send a late answer to
+// an earlier call. So a call limits how long a reused connection may have been idle, and inspects the head of each answer before it
+// accepts it. If bytes arrive when no answer is due, the connection is closed.
 //
 // Index of sections (search for [SECTION]):
-//   PooledCall    one call, and what becomes of it
+//   PooledCall    one call and its result
 //   HttpPool      the connections
 #pragma once
 
@@ -21,19 +21,19 @@
 
 // [SECTION] PooledCall
 
-/// What the pool does with an answer whose head has come.
+/// What the pool does with an answer whose head was received.
 enum class AnswerVerdict {
     Accept,
-    Skip, ///< a late answer to an earlier call: the next one may be ours
-    Refuse, ///< can't be trusted: ends the call as Broken
+    Skip, ///< a late answer to an earlier call: ignore it and wait for the next one
+    Refuse, ///< the connection can't be trusted: ends the call as Broken
 };
 
 struct PooledEnd {
     CallEnd end = CallEnd::Broken;
-    bool wasSent = false; ///< the server may act on the call
-    bool wasReused = false; ///< on a connection that had served another call before
-    TcpEnd connection = TcpEnd::Closed; ///< how the connection went, if it did
-    Duration idleBefore; ///< of a kept connection, before this call
+    bool wasSent = false; ///< at least a part was sent: the server may have executed the call
+    bool wasReused = false; ///< the connection had served another call before
+    TcpEnd connection = TcpEnd::Closed; ///< how the connection ended, if it did
+    Duration idleBefore; ///< how long a reused connection was idle before this call
 };
 
 struct PooledCall {
@@ -42,23 +42,23 @@
     std::string target = "/"; ///< path and query
     HttpHeaders headers; ///< without content-length
     std::string body;
-    Duration maxIdleTime = Duration::seconds(60); ///< a kept connection that was idle for longer isn't used; 0: only a new one
+    Duration maxIdleTime = Duration::seconds(60); ///< a connection that was idle for longer isn't reused; 0: always connect anew
 
-    std::function<AnswerVerdict(const HttpHead &head)> onHead; ///< none: every answer is taken
+    std::function<AnswerVerdict(const HttpHead &head)> onHead; ///< not set: every answer is accepted
     std::function<void(std::string_view bytes)> onBody;
-    std::function<void(const PooledEnd &end)> onEnd; ///< exactly once, unless cancelled; the last hook
+    std::function<void(const PooledEnd &end)> onEnd; ///< exactly once, unless cancelled; no hook is called after it
 };
 
-/// A call in flight; dropping the handle doesn't end it.
+/// A call in flight. Destroying the handle doesn't end the call; cancel() does.
 class PooledHandle
 {
 public:
     virtual ~PooledHandle() = default;
     virtual auto wasSent() const -> bool = 0;
-    virtual auto unackedBytes() const -> std::size_t = 0; ///< of the call, not yet acknowledged by the server's system
+    virtual auto unackedBytes() const -> std::size_t = 0; ///< bytes of the call that the server's TCP stack hasn't acknowledged yet
     /// Closes the connection; no hook is called from here on.
     virtual auto cancel() -> void = 0;
-    virtual auto pause() -> void = 0; ///< stops reading: the server is held back
+    virtual auto pause() -> void = 0; ///< stops reading, so that flow control stops the server
     virtual auto resume() -> void = 0;
 };
 
@@ -66,36 +66,36 @@
 
 struct HttpPoolOptions {
     TcpOptions tcp;
-    std::size_t headBytes = 65536; ///< of an answer
+    std::size_t headBytes = 65536; ///< size limit of an answer's head
     Duration idleTimeout = Duration::seconds(60); ///< an idle connection is closed after this
-    Duration idleTimeoutMargin = Duration::millis(1000); ///< before the server's own idle timeout, which it states in whole seconds
-    int maxSkipped = 2; ///< late answers before a connection is given up
+    Duration idleTimeoutMargin = Duration::millis(1000); ///< closed this long before the server's own idle timeout (Keep-Alive, whole seconds)
+    int maxSkipped = 2; ///< late answers skipped during one call; a further one closes the connection
 };
 
 struct HttpPoolCounts {
-    std::uint64_t opened = 0; ///< connections
-    std::uint64_t reused = 0; ///< calls on a kept one
-    std::uint64_t strayAnswers = 0; ///< late answers, and bytes when none was due
+    std::uint64_t opened = 0; ///< new connections
+    std::uint64_t reused = 0; ///< calls on reused connections
+    std::uint64_t strayAnswers = 0; ///< late answers, and bytes that arrived when no answer was due
 };
 
 class HttpPool
 {
 public:
     HttpPool(EventLoop &loop, HttpPoolOptions options = {});
-    ~HttpPool(); ///< cancels what is in flight
+    ~HttpPool(); ///< cancels the calls in flight
     HttpPool(const HttpPool &) = delete;
     auto operator=(const HttpPool &) -> HttpPool & = delete;
 
     auto counts() const -> const HttpPoolCounts &;
     auto connections(const Endpoint &server) const -> std::size_t; ///< busy and idle
-    auto hasIdle(const Endpoint &server, Duration maxIdleTime) const -> bool; ///< one that a call with that `maxIdleTime` would use
+    auto hasIdle(const Endpoint &server, Duration maxIdleTime) const -> bool; ///< a call with this `maxIdleTime` would reuse a connection
 
-    /// Never calls a hook before it has returned.
+    /// Starts a call. No hook is called before start() has returned.
     auto start(PooledCall call) -> std::shared_ptr<PooledHandle>;
-    /// Closes idle connections to a server that is gone, or whose connections can't be trusted any more.
+    /// Closes the idle connections to a server that is gone or whose connections can't be trusted any more.
     auto closeIdle(const Endpoint &server) -> void;
-    auto setTcpOptions(const TcpOptions &tcp) -> void; ///< of connections to come
-    auto closeAllIdle() -> void;
+    auto setTcpOptions(const TcpOptions &tcp) -> void; ///< for connections opened from now on
+    auto closeAllIdle() -> void; ///< closes the idle connections to all servers
 
     struct Private;
 
--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -18,7 +18,8 @@
     return static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
 }
 
-/// http-parser lets some bytes through that other readers end a name at; passed on, they could hide a header from one side.
+/// Whether a header name holds only the characters that RFC 9110 allows. http-parser accepts some bytes at which other parsers end a
+/// name; forwarded, they could hide a header from one side.
 auto isToken(std::string_view name) -> bool
 {
     constexpr std::string_view Marks = "!#$%&'*+-.^_`|~";
@@ -90,7 +91,7 @@
         http_parser_init(&parser, kind == Kind::Request ? HTTP_REQUEST : HTTP_RESPONSE);
         parser.data = this;
     }
-    /// http-parser has a limit of its own, for the whole process; ours is checked by what the callbacks see.
+    /// Counts bytes of the head. The limit of http-parser holds for the whole process, so each reader's limit is checked in its callbacks.
     auto count(std::size_t bytes) -> int
     {
         headBytes += bytes;
@@ -113,7 +114,7 @@
 auto HttpReader::Private::onName(std::string_view text) -> int
 {
     if (headDone) {
-        return count(text.size()); // a trailer: not passed on
+        return count(text.size()); // a trailer: not reported
     }
     if (lastWasValue) {
         head.headers.emplace_back();
@@ -133,7 +134,7 @@
     return count(text.size());
 }
 
-/// Returns what http-parser is to do: 0 to go on, 1 to skip the body, another value to fail.
+/// The return value tells http-parser what to do: 0 to go on, 1 to skip the body, any other value to fail.
 auto HttpReader::Private::onHeadDone() -> int
 {
     constexpr int Fail = -1;
--- a/src/net/httpreader.h
+++ b/src/net/httpreader.h
@@ -1,11 +1,11 @@
-// HTTP/1.1 messages out of a byte stream, by the http-parser library. Bytes may arrive in any pieces; nothing is kept of a body.
+// Parses HTTP/1.1 messages from a byte stream with the http-parser library. Bytes may arrive in any pieces; bodies are not buffered.
 //
-// A reader takes one message and then stops: what follows it belongs to the next message, or to nobody.
+// A reader parses one message and then stops. Bytes after it belong to the next message, or are unexpected.
 //
 // Index of sections (search for [SECTION]):
-//   Heads        what stands before a body
+//   Heads        start line and headers
 //   HttpReader   the reader
-//   Writing      a head as bytes
+//   Writing      a head and chunks as bytes
 #pragma once
 
 #include "net/http.h"
@@ -22,20 +22,20 @@
 
 // [SECTION] Heads
 
-/// The start line and headers of a request or an answer. Header names are as they were sent.
+/// The start line and headers of a request or an answer. Header names keep the case in which they were sent.
 struct HttpHead {
     std::string method; ///< requests: "GET", "POST", ...
-    std::string target; ///< requests: path and query, byte for byte
+    std::string target; ///< requests: path and query, unchanged
     int status = 0; ///< answers
     HttpHeaders headers;
-    std::optional<std::uint64_t> length; ///< of the body, if it was declared
+    std::optional<std::uint64_t> length; ///< Content-Length, if present
     bool isChunked = false;
-    bool keepsConnection = false; ///< by version and Connection header
+    bool keepsConnection = false; ///< whether the connection stays open after the message, by HTTP version and Connection header
 };
 
-/// The value of the first header of that name, in any case; nothing if there is none.
+/// The value of the first header of that name, compared without regard to case; nothing if there is none.
 auto findHeader(const HttpHeaders &headers, std::string_view name) -> std::optional<std::string_view>;
-/// Whether two header names are the same: letters are compared in any case.
+/// Whether two header names are equal, without regard to case.
 auto isSameHeaderName(std::string_view a, std::string_view b) -> bool;
 
 // [SECTION] HttpReader
@@ -43,7 +43,7 @@
 enum class HttpFault {
     None,
     TooLarge, ///< the head is longer than the limit
-    Malformed, ///< not HTTP, or framed in two ways at once
+    Malformed, ///< not HTTP, or ambiguous framing (for example both Content-Length and chunked)
 };
 
 class HttpReader
@@ -51,28 +51,28 @@
 public:
     enum class Kind { Request, Answer };
 
-    /// `headBytes`: the most that a start line and headers may take.
+    /// `headBytes`: size limit of the start line and headers together.
     HttpReader(Kind kind, std::size_t headBytes);
     ~HttpReader();
     HttpReader(const HttpReader &) = delete;
     auto operator=(const HttpReader &) -> HttpReader & = delete;
 
     // Queries
-    auto hasBegun() const -> bool; ///< at least one byte of the message was read
+    auto hasBegun() const -> bool; ///< at least one byte of the message was parsed
     auto hasHead() const -> bool;
-    auto isComplete() const -> bool; ///< nothing more is read
+    auto isComplete() const -> bool; ///< the whole message was parsed; further bytes are left alone
     auto fault() const -> HttpFault;
     auto head() const -> const HttpHead &;
-    auto endsWithConnection() const -> bool; ///< an answer without a length: complete once the far side closes in order
+    auto endsWithConnection() const -> bool; ///< an answer without a length: complete when the server closes the connection in order
 
     // Commands
-    /// Reads up to the end of the message; returns how many bytes that took. Less than all: complete, or a fault.
+    /// Parses up to the end of the message and returns the number of bytes consumed. If not all were, the message is complete or has a fault.
     auto feed(std::string_view bytes) -> std::size_t;
-    /// The far side closed in order. True if that completes the message.
+    /// To be called when the remote side has closed in order. True if that completes the message.
     auto feedEnd() -> bool;
-    /// Drops the message, for the next one on the same connection.
+    /// Prepares for the next message on the same connection.
     auto reset() -> void;
-    /// The answer to come is one to HEAD: it has no body, whatever its headers say.
+    /// The next answer belongs to a HEAD request: it has no body, whatever its headers say.
     auto expectNoBody() -> void;
 
     std::function<void()> onHead;
@@ -86,18 +86,18 @@
 
 // [SECTION] Writing
 
-/// Whether a header concerns only the connection it came on and must not be passed on; `connection` is that of the message.
+/// Whether a header is hop-by-hop and must not be forwarded; `connection` is the value of the message's Connection header.
 auto isHopByHop(std::string_view name, std::string_view connection) -> bool;
 
-/// The reason phrase that goes with a status.
+/// The reason phrase of a status code.
 auto reasonPhrase(int status) -> const char *;
 
-/// "HTTP/1.1 200 OK" and the headers, with the blank line.
+/// "HTTP/1.1 200 OK", the headers and the blank line.
 auto answerHead(int status, const HttpHeaders &headers) -> std::string;
-/// "POST /path HTTP/1.1" and the headers, with the blank line.
+/// "POST /path HTTP/1.1", the headers and the blank line.
 auto requestHead(const std::string &method, const std::string &target, const HttpHeaders &headers) -> std::string;
 
-/// One piece of a chunked body.
+/// One chunk of a chunked body.
 auto chunk(std::string_view bytes) -> std::string;
 constexpr std::string_view LastChunk = "0\r\n\r\n";
 
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -1,8 +1,8 @@
-// The server half of net/http.h.
+// Implements the server of net/http.h.
 //
 // Index of sections (search for [SECTION]):
-//   Exchange   the state of one answer, and how it is written
-//   Server     callbacks of libwebsockets, and the table of open exchanges
+//   Exchange   the state of one answer and how it is written
+//   Server     callbacks of libwebsockets and the table of open exchanges
 #include "net/http.h"
 #include "net/httpstatus.h"
 #include "net/lwsheaders.h"
@@ -25,12 +25,12 @@
 namespace
 {
 
-/// libwebsockets keeps the pointer and reads the name at every request: a string that goes would be read after its end, and the process
-/// would die of that now and then.
+/// libwebsockets keeps this pointer and reads the name at every request, so the text must live as long as the process: a destroyed string
+/// would be read after its end, which crashes the process now and then.
 constexpr auto VhostName = "http-server";
 constexpr std::size_t MaxAnswerHeaderBytes = 8192;
 constexpr std::size_t MaxWriteBytes = 32768;
-constexpr int SlowCallerSeconds = 30; // a caller that takes nothing for so long is cut off
+constexpr int SlowCallerSeconds = 30; // a caller that reads nothing for this long is disconnected
 constexpr auto HangUpCheckPeriod = Duration::millis(250);
 
 } // namespace
@@ -39,15 +39,15 @@
 
 struct HttpExchange::Private {
     HttpRequest request;
-    lws *wsi = nullptr; // null once the caller has left
+    lws *wsi = nullptr; // null once the caller has disconnected
     std::size_t expectedBody = 0;
     bool bodyEnded = false;
-    bool dispatched = false; // the handler has seen it
+    bool dispatched = false; // the request was passed to the handler
     bool begun = false;
     bool headWritten = false;
     bool chunked = false;
     bool finished = false; // finish() was called
-    bool closeAfter = false; // the connection can't be used for another request
+    bool closeAfter = false; // close the connection after the answer: it can't be used for another request
     int status = 0;
     HttpHeaders headers;
     std::string out; // not yet written
@@ -58,12 +58,12 @@
     auto wakeUp() const -> void
     {
         if (wsi != nullptr) {
-            lws_rx_flow_control(wsi, 1); // without this libwebsockets ignores that the socket is writable
+            lws_rx_flow_control(wsi, 1); // without this, libwebsockets ignores that the socket is writable
             lws_callback_on_writable(wsi);
         }
     }
-    /// While an answer is due, libwebsockets polls the socket but doesn't read it: a caller that hangs up then makes the loop
-    /// spin at full processor use, and nobody hears of it. So an idle exchange isn't polled; checkHangUps() looks instead.
+    /// While an answer is pending, libwebsockets polls the socket but doesn't read it. A caller that disconnects then makes the loop
+    /// spin at full processor use without any callback. So an idle exchange isn't polled; checkHangUps() detects the disconnect.
     auto stopPolling() const -> void
     {
         lws_set_timeout(wsi, NO_PENDING_TIMEOUT, 0);
@@ -71,7 +71,7 @@
     }
 };
 
-/// The status line and headers, as bytes.
+/// Serialises the status line and headers.
 auto HttpExchange::Private::writeHead() -> std::string
 {
     std::array<unsigned char, LWS_PRE + MaxAnswerHeaderBytes> buffer {};
@@ -103,7 +103,7 @@
     return failed ? std::string() : std::string(reinterpret_cast<char *>(start), static_cast<std::size_t>(at - start));
 }
 
-/// The next bytes of the body, framed as a chunk where the length wasn't known at the start.
+/// The next bytes of the body, framed as a chunk if the length wasn't known at the start.
 auto HttpExchange::Private::nextPiece() -> std::string
 {
     const std::size_t size = std::min(out.size(), MaxWriteBytes);
@@ -124,7 +124,7 @@
     return piece;
 }
 
-/// Writes what there is. Returns what the libwebsockets callback is to return.
+/// Writes the buffered bytes. Returns the value that the libwebsockets callback must return.
 auto HttpExchange::Private::onWritable(HttpExchange &exchange) -> int
 {
     if (!begun) {
@@ -250,11 +250,11 @@
     std::array<lws_protocols, 2> protocols {};
     std::unordered_map<lws *, std::shared_ptr<HttpExchange>> exchanges;
     std::uint64_t refused = 0;
-    std::unordered_set<lws *> sockets; // every open connection, also idle ones
-    lws *listener = nullptr; // known from the first connection on
+    std::unordered_set<lws *> sockets; // every open connection, including idle ones
+    lws *listener = nullptr; // known once the first connection was accepted
     bool accepting = true;
-    bool destroyed = false; // the HttpServer has gone; libwebsockets still holds the virtual host
-    SSL_CTX *tlsContext = nullptr; // the virtual host's; null without TLS
+    bool destroyed = false; // the HttpServer is destroyed; libwebsockets still holds the virtual host
+    SSL_CTX *tlsContext = nullptr; // that of the virtual host; null without TLS
     std::unique_ptr<TlsRenewal> tlsRenewal;
     Timer hangUpCheck; // runs while there are open exchanges
 
@@ -344,7 +344,7 @@
     handler(exchange);
 }
 
-/// Ends the exchanges whose callers have closed their side. Under TLS a hang-up shows only when writing.
+/// Ends the exchanges whose callers have closed their side. Under TLS a closed connection is detected only by a write.
 auto HttpServer::Private::checkHangUps() -> void
 {
     if (exchanges.empty()) {
@@ -377,8 +377,8 @@
     exchange->d->wsi = wsi;
     exchanges[wsi] = exchange;
     if (knownHeader(wsi, WSI_TOKEN_HTTP).rfind("HTTP/1.", 0) != 0) {
-        // libwebsockets ends the request line at an encoded line end. The call that is left is another than the caller meant;
-        // one notices by the version, which has gone with the rest.
+        // libwebsockets ends the request line at an encoded line end, which leaves a call that the caller didn't mean. It is recognised
+        // by the missing HTTP version, which is cut off as well.
         refuse(*exchange, HttpStatus::BadRequest, "bad-request-line");
         return 0;
     }
@@ -420,9 +420,9 @@
         return 0;
     }
     if (exchange->d->bodyEnded) {
-        // More bytes came along with the body, before its answer: libwebsockets 4.1 then reports the end of the body for ever and
-        // never returns to the loop, so that one caller would stop the whole process. Only closing gets it out of there.
-        LOG(WARNING) << "net: closed a caller that sends ahead of its answer peer=" << exchange->request().peer;
+        // More bytes arrived together with the body, before its answer. libwebsockets 4.1 then reports the end of the body again and
+        // again without returning to the loop, so that one caller would block the whole process. Only closing the connection ends that.
+        LOG(WARNING) << "net: closed a connection that sent bytes after the body, before the answer peer=" << exchange->request().peer;
         return -1;
     }
     exchange->d->bodyEnded = true;
@@ -506,7 +506,7 @@
     }
 }
 
-/// libwebsockets has let go of the virtual host.
+/// libwebsockets has destroyed the virtual host.
 auto HttpServer::Private::onVhostDestroyed(lws_vhost * /*vhost*/, void *self) -> void
 {
     delete static_cast<Private *>(self);
@@ -543,19 +543,20 @@
 
 HttpServer::~HttpServer()
 {
-    // Nobody is to hear of connections that end with the server itself.
+    // No hook is called for connections that end because the server is destroyed.
     for (auto &[wsi, exchange] : d->exchanges) {
         exchange->d->wsi = nullptr;
         exchange->onClosed = nullptr;
         exchange->onDrained = nullptr;
     }
     d->exchanges.clear();
-    // Destroying the virtual host closes its port, not its connections: whoever waits for an answer would wait for ever.
+    // Destroying the virtual host closes its port, not its connections: callers that await an answer would wait for ever.
     const auto open = d->sockets;
     for (lws *socket : open) {
         lws_set_timeout(socket, PENDING_TIMEOUT_KILLED_BY_PARENT, LWS_TO_KILL_SYNC);
     }
-    // The port closes only when the loop comes round: a caller may still get in, and the callback must find its state until onVhostDestroyed().
+    // The port is closed only at the next turn of the loop. Until then a caller may still connect, so the state of the callback must exist
+    // until onVhostDestroyed().
     if (d->listener != nullptr) {
         lws_set_timeout(d->listener, PENDING_TIMEOUT_KILLED_BY_PARENT, LWS_TO_KILL_SYNC);
     }
--- a/src/net/httpstatus.h
+++ b/src/net/httpstatus.h
@@ -1,4 +1,4 @@
-// The status codes of HTTP that the programs speak of (RFC 9110 and 6585).
+// The HTTP status codes that the programs use (RFC 9110 and 6585).
 #pragma once
 
 namespace KingCup::HttpStatus
--- a/src/net/json.h
+++ b/src/net/json.h
@@ -1,4 +1,4 @@
-// Reading JSON of other services without exceptions: a service that answers nonsense must not end the process.
+// Reads JSON of other services without exceptions: an invalid answer must not terminate the process.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 namespace KingCup
 {
 
-/// The parsed text; discarded (is_discarded()) if it isn't JSON.
+/// The parsed text; is_discarded() is true if it isn't JSON.
 inline auto parseJson(const std::string &text) -> nlohmann::json
 {
     return nlohmann::json::parse(text, nullptr, false);
@@ -50,7 +50,7 @@
     return value.is_boolean() && value.get<bool>();
 }
 
-/// As text. What isn't UTF-8 is replaced: an exception would end the process.
+/// Serialises to text. Invalid UTF-8 is replaced, since the exception thrown otherwise would terminate the process.
 inline auto dumpJson(const nlohmann::json &value) -> std::string
 {
     return value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/src/net/lwsheaders.cpp
+++ b/src/net/lwsheaders.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// libwebsockets' own table of names, turned around once. Its names end in a colon.
+/// The tokens of libwebsockets by header name, without the colon at which its names end. Built at the first use.
 auto knownTokens() -> const std::unordered_map<std::string, lws_token_indexes> &
 {
     static const auto Tokens = [] {
--- a/src/net/metrics.cpp
+++ b/src/net/metrics.cpp
@@ -19,7 +19,7 @@
 using Distribution = Stats::accumulator_set<double, Stats::stats<Stats::tag::count, Stats::tag::sum, Stats::tag::extended_p_square>>;
 constexpr std::array<double, 3> Quantiles {0.5, 0.95, 0.99};
 
-/// name{a="b"} and quantile="0.5" to name{a="b",quantile="0.5"}.
+/// Adds a label: name{a="b"} and quantile="0.5" give name{a="b",quantile="0.5"}.
 auto withLabel(const std::string &name, const std::string &label) -> std::string
 {
     if (name.ends_with('}')) {
@@ -28,7 +28,7 @@
     return name + "{" + label + "}";
 }
 
-/// name{a="b"} and "_sum" to name_sum{a="b"}.
+/// Adds a suffix to the name: name{a="b"} and "_sum" give name_sum{a="b"}.
 auto withSuffix(const std::string &name, const std::string &suffix) -> std::string
 {
     const auto brace = name.find('{');
--- a/src/net/metrics.h
+++ b/src/net/metrics.h
@@ -1,6 +1,6 @@
-// Metrics of a process, shown in the text format that scrapers read. Distributions are kept by Boost.Accumulators in constant memory.
+// Metrics of a process in the Prometheus text format. Distributions are kept by Boost.Accumulators in constant memory.
 //
-// A name may carry labels: requests_total{outcome="delivered"}. One loop uses an instance; there are no locks.
+// A name may have labels: requests_total{outcome="delivered"}. Not thread-safe: an instance belongs to one event loop.
 #pragma once
 
 #include <memory>
@@ -19,7 +19,7 @@
     auto set(const std::string &name, double value) -> void; ///< gauges
     auto observe(const std::string &name, double value) -> void; ///< distributions: count, sum, quantiles 0.5, 0.95 and 0.99
 
-    auto text() const -> std::string; ///< all of them, each name prefixed with "kingcup_"
+    auto text() const -> std::string; ///< all metrics, each name prefixed with "kingcup_"
 
 private:
     struct Private;
--- a/src/net/polled.cpp
+++ b/src/net/polled.cpp
@@ -48,7 +48,7 @@
 namespace
 {
 
-/// One virtual host for each loop, made at the first use and destroyed with the loop's context.
+/// The virtual host for polled descriptors, one for each loop; created at the first use and destroyed with the loop's context.
 auto vhostOf(EventLoop &loop) -> lws_vhost *
 {
     static std::array<lws_protocols, 2> protocols {};
@@ -78,8 +78,8 @@
     fd.filefd = descriptor;
     m_wsi = lws_adopt_descriptor_vhost(vhostOf(loop), LWS_ADOPT_RAW_FILE_DESC, fd, ProtocolName, nullptr);
     if (m_wsi == nullptr) {
-        // libwebsockets has closed it.
-        LOG(WARNING) << "net: the loop takes no further descriptor";
+        // libwebsockets has closed the descriptor.
+        LOG(WARNING) << "net: the event loop can poll no further descriptor";
         return false;
     }
     m_descriptor = descriptor;
--- a/src/net/polled.h
+++ b/src/net/polled.h
@@ -1,4 +1,4 @@
-// A descriptor of ours that the event loop polls. libwebsockets treats it as a file and leaves reading, writing and errors to us.
+// A file descriptor that the event loop polls. libwebsockets treats it as a file and leaves reading, writing and errors to the owner.
 #pragma once
 
 #include "net/eventloop.h"
@@ -11,7 +11,7 @@
 namespace KingCup
 {
 
-/// Owns the descriptor: release() closes it. Keep it in a std::shared_ptr; a callback keeps it alive while it runs.
+/// Owns the descriptor; release() closes it. Must be held by a std::shared_ptr: a running callback keeps the object alive.
 class PolledDescriptor : public std::enable_shared_from_this<PolledDescriptor>
 {
 public:
@@ -20,16 +20,16 @@
     PolledDescriptor(const PolledDescriptor &) = delete;
     auto operator=(const PolledDescriptor &) -> PolledDescriptor & = delete;
 
-    /// False if the loop can take no more descriptors; it is closed then.
+    /// False if the loop has no capacity for another descriptor; the descriptor is closed then.
     auto attach(EventLoop &loop, int descriptor) -> bool;
     auto descriptor() const -> int; ///< -1 once released
-    auto requestWritable() -> void; ///< onWritable is called once
+    auto requestWritable() -> void; ///< onWritable will be called once
     auto setReading(bool on) -> void;
-    auto release() -> void; ///< no hook is called from here on
+    auto release() -> void; ///< closes the descriptor; no hook is called afterwards
 
     std::function<void()> onReadable;
     std::function<void()> onWritable;
-    std::function<void()> onHangUp; ///< both directions are closed, and nothing is left to read
+    std::function<void()> onHangUp; ///< both directions are closed and nothing is left to read
 
     struct Callbacks;
 
--- a/src/net/tcpstream.cpp
+++ b/src/net/tcpstream.cpp
@@ -24,9 +24,9 @@
 {
 
 constexpr std::size_t ReadBytes = 32768;
-constexpr int ProbeCount = 3; ///< unanswered keep-alive probes that end a connection
+constexpr int ProbeCount = 3; ///< unanswered keep-alive probes after which a connection is closed
 constexpr int ListenBacklog = 1024;
-constexpr int MaxAcceptsPerEvent = 64; ///< so that a rush of connections doesn't hold up the open ones
+constexpr int MaxAcceptsPerEvent = 64; ///< limited so that a burst of new connections doesn't delay the open ones
 
 auto socketAddress(const Endpoint &endpoint) -> sockaddr_in
 {
@@ -43,7 +43,8 @@
     setsockopt(descriptor, level, option, &value, sizeof(value));
 }
 
-/// A peer that loses its power or its path answers nothing: without these a connection to it would seem well for ever.
+/// Sets timeouts and keep-alive probes. A host that loses power or its network sends no reset: without them its connections would look
+/// intact for ever.
 auto applyOptions(int descriptor, const TcpOptions &options) -> void
 {
     constexpr std::int64_t MillisPerSecond = 1000;
@@ -80,10 +81,10 @@
 // [SECTION] TcpStream
 
 struct TcpStream::Private : std::enable_shared_from_this<TcpStream::Private> {
-    TcpStream *owner = nullptr; // null once the stream was destroyed
+    TcpStream *owner = nullptr; // null once the stream is destroyed
     std::shared_ptr<PolledDescriptor> polled = std::make_shared<PolledDescriptor>();
-    std::string out; // not yet taken by the system
-    std::size_t outStart = 0; // bytes of `out` that were taken
+    std::string out; // not yet accepted by the kernel
+    std::size_t outStart = 0; // bytes at the front of `out` that the kernel has accepted
     bool connecting = false;
     bool ended = false;
     bool sent = false;
@@ -136,12 +137,12 @@
     connectTimer.cancel();
     polled->release();
     if (owner != nullptr && owner->onEnd) {
-        const auto hook = owner->onEnd; // it may destroy the stream, and with it the stored function
+        const auto hook = owner->onEnd; // a copy: the hook may destroy the stream and with it the stored function
         hook(how);
     }
 }
 
-/// True if the connection is up.
+/// Completes a pending connect. True if the connection is established and the stream is still in use.
 auto TcpStream::Private::finishConnect() -> bool
 {
     const int error = socketError();
@@ -196,11 +197,11 @@
 
 auto TcpStream::Private::onHangUp() -> void
 {
-    // The descriptor is gone with its error; a connection that had come up was broken off.
+    // The descriptor is closed and its error can't be read any more; an established connection counts as reset.
     end(connecting ? TcpEnd::NotConnected : TcpEnd::Reset);
 }
 
-/// Writes what the system takes. An error is left to the next read: what the far side sent before it broke off can still be read.
+/// Writes what the kernel accepts. An error is left to the next read: what the remote side sent before the reset can still be received.
 auto TcpStream::Private::flush() -> void
 {
     while (pending() > 0) {
@@ -238,7 +239,7 @@
     d->ended = true;
     d->connectTimer.cancel();
     if (d->polled->descriptor() >= 0) {
-        shutdown(d->polled->descriptor(), SHUT_RDWR); // at once: the loop closes the descriptor a little later
+        shutdown(d->polled->descriptor(), SHUT_RDWR); // ends the connection at once: the loop closes the descriptor a little later
     }
     d->polled->release();
 }
@@ -375,7 +376,7 @@
         const int descriptor = accept4(polled->descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (descriptor < 0) {
             if (errno != EAGAIN && errno != EINTR && errno != ECONNABORTED) {
-                LOG(WARNING) << "net: no connection could be accepted: " << std::strerror(errno);
+                LOG(WARNING) << "net: accept failed: " << std::strerror(errno);
             }
             return;
         }
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -29,7 +29,7 @@
     return text.data();
 }
 
-/// What went wrong; empty if all was loaded.
+/// Loads the files into the context. Returns the error; empty on success.
 auto loadFiles(SSL_CTX *context, const TlsFiles &files) -> std::string
 {
     if (!files.certificate.empty()) {
@@ -46,7 +46,7 @@
     return "";
 }
 
-/// Changes whenever one of the files does.
+/// A text that changes whenever one of the files does (modification time, inode, size).
 auto stampOf(const TlsFiles &files) -> std::string
 {
     std::string stamp;
@@ -96,7 +96,7 @@
     TlsFiles files;
     SSL_CTX *context = nullptr;
     std::string stamp;
-    std::string lastLoggedError; // the last one logged
+    std::string lastLoggedError; // so that an error is logged once and not at every check
     int renewals = 0;
     Timer timer;
 
@@ -109,12 +109,12 @@
     if (now == stamp) {
         return;
     }
-    // Tried on a context of its own first: certificate and key are replaced one after the other, and in between they don't match.
-    // Loaded then, every new connection would fail until the next renewal.
+    // The files are first loaded into a temporary context: certificate and key are replaced one after the other and don't match in
+    // between. Loaded at that moment, they would make every new connection fail until the next renewal.
     const auto wrong = checkTlsFiles(files);
     if (!wrong.empty()) {
         if (wrong != lastLoggedError) {
-            LOG(ERROR) << "net: changed TLS files not taken, the old ones stay in use reason=\"" << wrong << "\"";
+            LOG(ERROR) << "net: changed TLS files are not usable, the old ones stay in use reason=\"" << wrong << "\"";
         }
         lastLoggedError = wrong;
         return;
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -1,7 +1,7 @@
-// TLS identities from files, and their renewal without a restart.
+// TLS certificates, keys and certificate authorities from files, and their renewal without a restart.
 //
-// Files are looked at every few seconds. Once they have changed and hold a certificate with its key, connections that are made from
-// then on use them; those that stand go on. A renewed authority is trusted beside the old one until the next start.
+// The files are checked for changes periodically. Once they have changed and hold a certificate with its matching key, new connections use
+// them; open connections go on. A renewed authority is trusted in addition to the old one until the process restarts.
 #pragma once
 
 #include "core/endpoint.h"
@@ -16,16 +16,16 @@
 namespace KingCup
 {
 
-/// What is wrong with the files; empty if they hold a certificate, its key, and an authority where one is named.
+/// Describes what is wrong with the files; empty if they hold a certificate, its key, and an authority if one is named.
 auto checkTlsFiles(const TlsFiles &files) -> std::string;
 
-/// The library's context: the far side's certificate must be signed by the authority, and ours is presented if there is one.
+/// An OpenSSL context. The remote side's certificate must be signed by the authority; this side's own is presented if one is named.
 class TlsContext
 {
 public:
     enum class Side { Client, Server };
 
-    /// Throws std::runtime_error if checkTlsFiles() finds something.
+    /// Throws std::runtime_error if checkTlsFiles() reports an error.
     TlsContext(Side side, const TlsFiles &files);
     ~TlsContext();
     TlsContext(const TlsContext &) = delete;
@@ -37,7 +37,7 @@
     ssl_ctx_st *m_context;
 };
 
-/// Loads changed files into a context, client's or server's, which must outlive this.
+/// Loads changed files into a client or server context, which must outlive this object.
 class TlsRenewal
 {
 public:
--- a/src/net/urlencoding.h
+++ b/src/net/urlencoding.h
@@ -1,7 +1,8 @@
 // Percent-encoding of the parts of a URL.
 //
-// libwebsockets hands out paths and queries decoded. Passed on as they are, an encoded line end of a caller's would end the request line
-// towards a target, and what follows it would be the caller's own headers; an encoded "&" or "+" would change its meaning.
+// libwebsockets decodes paths and queries. They must be encoded again before they are forwarded: otherwise an encoded line end from a
+// caller would end the request line towards a target, and the text after it would be read as headers; an encoded "&" or "+" would change
+// its meaning.
 #pragma once
 
 #include <string>
@@ -10,11 +11,11 @@
 namespace KingCup
 {
 
-/// A decoded path as it stands in a request line: "/a b" becomes "/a%20b".
+/// Encodes a decoded path for a request line: "/a b" becomes "/a%20b".
 auto encodePath(std::string_view decoded) -> std::string;
-/// One decoded "name=value" of a query; its first "=" stays.
+/// Encodes one decoded "name=value" pair of a query; its first "=" is kept.
 auto encodeQueryPair(std::string_view decoded) -> std::string;
-/// Any text as a query's value.
+/// Encodes any text as the value of a query parameter.
 auto encodeQueryValue(std::string_view text) -> std::string;
 
 } // namespace KingCup
--- a/src/net/wallclock.h
+++ b/src/net/wallclock.h
@@ -1,4 +1,5 @@
-// The wall clock, for what outlives a process: retention times, incarnations. Spans of time are measured with EventLoop::now().
+// Wall-clock time, for values that outlive a process, such as retention times and incarnations. Durations are measured with
+// EventLoop::now().
 #pragma once
 
 #include <cstdint>
@@ -6,7 +7,7 @@
 namespace KingCup
 {
 
-/// Milliseconds since 1970.
+/// Milliseconds since the Unix epoch.
 auto wallMillis() -> std::uint64_t;
 
 } // namespace KingCup
--- a/src/wire/connection.cpp
+++ b/src/wire/connection.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// What encryption adds to a full buffer: at most 256 bytes for each record of 16 KB.
+/// Reserved in the write buffer for what TLS adds: at most 256 bytes for each record of 16 KB.
 constexpr std::size_t TlsOverheadBytes = 2048;
 
 } // namespace
@@ -34,9 +34,9 @@
     if (tls != nullptr) {
         m_tls = std::make_unique<TlsChannel>(tls, role == SessionRole::Client ? TlsChannel::Side::Client : TlsChannel::Side::Server);
     }
-    // A process that is frozen, or that speaks something else and waits, accepts connections as well. Without a limit on how
-    // long it takes to show itself, a client would wait for it for ever and a server keep the connection for ever.
-    m_deadline = loop.after(options.connectTimeout, [this] { drop("the far side did not answer in time"); });
+    // A frozen process, or one that speaks another protocol and waits, accepts connections too. Without a time limit for the
+    // handshake, a client would wait for it and a server would keep the connection for ever.
+    m_deadline = loop.after(options.connectTimeout, [this] { drop("the remote side did not complete the handshake in time"); });
 }
 
 auto PeerConnection::isReady() const -> bool
@@ -56,7 +56,7 @@
     }
     auto stream = m_session->open(path);
     if (!stream) {
-        // Stream numbers of one connection run out after 2^30 requests.
+        // The stream ids of a connection are used up after 2^30 requests.
         drop("no stream could be opened");
     }
     return stream;
@@ -102,7 +102,7 @@
     if (!why.empty()) {
         LOG(WARNING) << "wire: connection closed peer=" << m_name << " reason=\"" << why << "\" streams=" << m_session->streams();
     }
-    // Not from within a hook: it may belong to a stream that is about to hear its end.
+    // By a posted task: close() may run within a hook of a stream that breakStreams() ends.
     m_loop.post([self = shared_from_this()] {
         self->m_session->breakStreams();
         const auto hooks = std::move(self->m_hooks);
@@ -143,7 +143,7 @@
     return m_closed ? -1 : 0;
 }
 
-/// The next bytes for the socket.
+/// Fills `to` with the next bytes for the socket, encrypted under TLS; returns their number.
 auto PeerConnection::fillWriteBuffer(unsigned char *to) -> std::size_t
 {
     if (!m_tls) {
--- a/src/wire/connection.h
+++ b/src/wire/connection.h
@@ -1,5 +1,5 @@
 // One connection between peers: a libwebsockets raw socket and the session on it. Internal to src/wire; the client and
-// the server add only how a connection comes about.
+// the server differ only in how they establish a connection.
 #pragma once
 
 #include "wire/session.h"
@@ -10,31 +10,31 @@
 namespace KingCup
 {
 
-/// What is gathered before one write to a socket.
+/// Size of the buffer for one write to a socket, in bytes.
 constexpr std::size_t PeerWriteBytes = 64U << 10U;
 
 class PeerConnection : public std::enable_shared_from_this<PeerConnection>
 {
 public:
     struct Hooks {
-        std::function<void()> onReady; ///< the far side has shown itself to be a peer
+        std::function<void()> onReady; ///< the remote side's HTTP/2 SETTINGS were received, so it is a peer
         std::function<void(const PeerStreamPtr &)> onStream;
-        std::function<void()> onClosed; ///< exactly once, after every stream has seen its end
+        std::function<void()> onClosed; ///< exactly once, after the onEnd of every stream
     };
 
-    /// `tls`: null for a plain connection. `name` stands in log lines.
+    /// `tls`: null for a connection without TLS. `name` identifies the peer in log lines.
     PeerConnection(EventLoop &loop, SessionRole role, const PeerOptions &options, ssl_ctx_st *tls, std::string name, Hooks hooks);
 
     auto isReady() const -> bool;
     auto isClosed() const -> bool;
-    /// A new stream; null if not ready.
+    /// Opens a new stream; null if not ready.
     auto open(const std::string &path) -> PeerStreamPtr;
-    /// Gives the connection up. `onClosed` comes by a posted task.
+    /// Closes the connection. `onClosed` is called by a posted task. `why` is logged unless empty.
     auto drop(const std::string &why) -> void;
-    /// Takes the socket over. A client may know it before the connection stands.
+    /// Sets the socket. A client may call this before the connection is established.
     auto attach(lws *socket) -> void;
 
-    /// The libwebsockets callback of every raw protocol; the connection is the socket's opaque user data.
+    /// The libwebsockets callback for the sockets of peers; the connection is the socket's opaque user data.
     static auto callback(lws *wsi, lws_callback_reasons reason, void *user, void *in, size_t length) -> int;
 
 private:
@@ -52,10 +52,10 @@
     std::string m_name;
     Hooks m_hooks;
     std::shared_ptr<PeerSession> m_session;
-    std::unique_ptr<TlsChannel> m_tls; // null for a plain connection
+    std::unique_ptr<TlsChannel> m_tls; // null for a connection without TLS
     lws *m_wsi = nullptr;
-    Timer m_deadline; // until the far side has shown itself
-    bool m_started = false; // the socket stands: bytes may flow
+    Timer m_deadline; // until the remote side's SETTINGS are received
+    bool m_started = false; // the socket is connected
     bool m_writeRequested = false;
     bool m_closed = false;
 };
--- a/src/wire/control.h
+++ b/src/wire/control.h
@@ -1,4 +1,4 @@
-// Small helpers for control streams, used by both ends.
+// Helpers for control streams, used by both sides.
 #pragma once
 
 #include "wire/messages.h"
@@ -13,10 +13,10 @@
 constexpr auto ControlPath = "/control";
 constexpr auto RequestPath = "/request";
 
-/// Hands each frame of `stream` to `handler`; an unreadable one resets the stream. `from` names the peer in the log.
+/// Passes each frame of `stream` to `handler`; a frame that can't be parsed resets the stream. `from` names the peer in the log.
 auto readControl(const PeerStreamPtr &stream, const std::string &from, std::function<void(const Wire::ControlFrame &frame)> handler) -> void;
 
-/// A first message: who speaks. `incarnation` rises with each start of the same id.
+/// The first message on a control stream: identifies the sender. `incarnation` increases with each start of the process with this id.
 auto helloFrame(const std::string &id, const std::string &zone, std::uint64_t incarnation) -> Wire::ControlFrame;
 auto pingFrame(std::uint64_t sequence) -> Wire::ControlFrame;
 auto pongFrame(std::uint64_t sequence) -> Wire::ControlFrame;
--- a/src/wire/framing.cpp
+++ b/src/wire/framing.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr std::size_t MaxVarintBytes = 10;
-/// A reader that once held a large message gives the memory back.
+/// An empty buffer with more capacity than this is freed, so that one large message doesn't keep its memory.
 constexpr std::size_t MaxKeptCapacity = 64U << 10U;
 
 } // namespace
--- a/src/wire/framing.h
+++ b/src/wire/framing.h
@@ -1,4 +1,4 @@
-// How messages lie in a stream of bytes: each is preceded by its length as a varint. No sockets here.
+// Framing of messages in a byte stream: each message is preceded by its length as a varint. No I/O.
 //
 // Index of sections (search for [SECTION]):
 //   Writing   appendMessage
@@ -15,15 +15,15 @@
 
 // [SECTION] Writing
 
-/// Appends `message` with its length in front.
+/// Appends the length of `message` as a varint and the message.
 auto appendMessage(std::string &out, const google::protobuf::MessageLite &message) -> void;
 
 // [SECTION] Reading
 
 enum class FramingState {
-    Message, ///< one whole message was taken
-    Incomplete, ///< the rest of a message has yet to come, or there is nothing
-    Malformed, ///< not a length, or one over the limit; the stream can't be read on
+    Message, ///< a complete message was extracted
+    Incomplete, ///< more bytes are needed, or nothing is buffered
+    Malformed, ///< an invalid length, or one over the limit; the rest of the stream can't be parsed
 };
 
 struct FramedMessage {
@@ -31,13 +31,13 @@
     std::string_view bytes; ///< valid until the next append()
 };
 
-/// Cuts a stream of bytes into messages, however the bytes arrive in pieces.
+/// Splits a byte stream into messages; the bytes may arrive in any pieces.
 class MessageReader
 {
 public:
     explicit MessageReader(std::size_t maxMessage);
 
-    auto bufferedBytes() const -> std::size_t; ///< appended, not yet taken
+    auto bufferedBytes() const -> std::size_t; ///< appended and not yet extracted by take()
     auto append(std::string_view bytes) -> void;
     auto take() -> FramedMessage;
 
@@ -46,7 +46,7 @@
 
     std::size_t m_maxMessage;
     std::string m_buffer;
-    std::size_t m_at = 0; // bytes of m_buffer already taken
+    std::size_t m_at = 0; // bytes of m_buffer already extracted
 };
 
 } // namespace KingCup
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,4 +1,4 @@
-// The generated messages of proto/kingcup/wire.proto, under this project's namespace.
+// Makes the generated messages of proto/kingcup/wire.proto available as KingCup::Wire.
 #pragma once
 
 #include "kingcup/wire.pb.h"
--- a/src/wire/packedrows.cpp
+++ b/src/wire/packedrows.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-constexpr std::size_t MinPackedBytes = 512; ///< bytes; below, there is little to gain
-constexpr std::uint64_t MaxUnpackedBytes = 64U << 20U; ///< bytes; a mistake in a length must not take all memory. Documents of 20,000 routes fit
-constexpr int ZlibLevel = 1; ///< of zlib: fastest; hosts have a tenth of a processor
+constexpr std::size_t MinPackedBytes = 512; ///< bytes; compressing smaller messages gains little
+constexpr std::uint64_t MaxUnpackedBytes = 64U << 20U; ///< bytes; a wrong length must not exhaust the memory. Declarations of 20,000 routes fit
+constexpr int ZlibLevel = 1; ///< the fastest: processes may have only a tenth of a CPU
 
 } // namespace
 
--- a/src/wire/packedrows.h
+++ b/src/wire/packedrows.h
@@ -1,6 +1,7 @@
-// Rows of the store on their way between gateways, compressed. Declarations of a thousand routes are some 350 KB of JSON; passed on to two dozen
-// gateways over a link of 10 Mbit/s they took 6 s, and all digests behind them as long. Compressed they are a tenth, for some milliseconds
-// of processor time.
+// Compresses the rows of the store that gateways forward to each other.
+//
+// The declarations of a thousand routes are about 350 KB of JSON. Uncompressed, they took 6 s to reach two dozen gateways over a link of
+// 10 Mbit/s and delayed all digests sent after them by as long. Compression reduces them to a tenth for some milliseconds of CPU time.
 #pragma once
 
 #include "wire/messages.h"
@@ -10,9 +11,9 @@
 namespace KingCup
 {
 
-/// The same rows with all but the table in `packed`, where that is shorter.
+/// Compresses the rows into the field `packed`; only the table stays outside. Returns `rows` unchanged if they are small or that is no shorter.
 auto packRows(const Wire::StoreRows &rows) -> Wire::StoreRows;
-/// What packRows() was given; nothing if it can't be read.
+/// Reverses packRows(); nothing if the data is invalid.
 auto unpackRows(const Wire::StoreRows &rows) -> std::optional<Wire::StoreRows>;
 
 } // namespace KingCup
--- a/src/wire/peerclient.cpp
+++ b/src/wire/peerclient.cpp
@@ -1,4 +1,4 @@
-// The connecting half of wire/peer.h.
+// Implements the client of wire/peer.h.
 #include "net/tls.h"
 #include "wire/connection.h"
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// The vhost that all clients of one loop with the same identity share: hundreds of connections need only one.
+/// A libwebsockets vhost shared by all clients of a loop with the same TLS files, since there may be hundreds of connections.
 class ClientVhost
 {
 public:
@@ -73,7 +73,7 @@
 } // namespace
 
 struct PeerClient::Private : std::enable_shared_from_this<Private> {
-    PeerClient *owner; // null once destroyed
+    PeerClient *owner; // null once the PeerClient is destroyed
     EventLoop &loop;
     Endpoint server;
     PeerOptions options;
@@ -173,7 +173,7 @@
 PeerClient::PeerClient(EventLoop &loop, Endpoint server, PeerOptions options)
     : d(std::make_shared<Private>(*this, loop, std::move(server), std::move(options)))
 {
-    // By a task: the owner sets its hooks first.
+    // By a posted task, so that the owner can set its hooks first.
     loop.post([weak = std::weak_ptr(d)] {
         const auto self = weak.lock();
         if (self && self->owner != nullptr) {
--- a/src/wire/peerlinks.cpp
+++ b/src/wire/peerlinks.cpp
@@ -10,16 +10,17 @@
 namespace
 {
 
-/// Heartbeats without a message after which a peer is asked.
+/// Heartbeat periods without a message from a peer after which it is pinged.
 constexpr double HeartbeatsBeforePing = 1.5;
-/// A peer that takes no control messages isn't sent more: they would pile up. It gets the newest state when it is back.
+/// While this much is pending on a control stream, no more messages are sent on it, since they would pile up. The peer gets the newest
+/// state when it reconnects.
 constexpr std::size_t MaxPendingBytes = 4U << 20U;
 
 struct Link {
     std::string id;
     std::unique_ptr<PeerClient> client;
     PeerStreamPtr control;
-    TimePoint receivedAt; ///< any message
+    TimePoint receivedAt; ///< last time that any message was received
 };
 
 } // namespace
@@ -93,7 +94,7 @@
     link.receivedAt = loop.now();
     hooks.onReceived(link.id);
     if (frame.has_hello()) {
-        // An address may have been given to another process: its messages must not count for the one we meant.
+        // The address may have been reassigned to another process, whose messages must not count as those of the wanted peer.
         if (frame.hello().id() != link.id || frame.hello().version() != Wire::PROTOCOL_VERSION_CURRENT) {
             LOG(WARNING) << part << ": another process answered wanted=" << link.id << " got=" << frame.hello().id() << " version=" << frame.hello().version();
             link.control->reset();
@@ -106,7 +107,8 @@
     }
 }
 
-/// A peer that sends anything is alive; only a silent one is asked. Asking all doubled an idle entry's wake-ups.
+/// Pings the peers that have sent nothing for longer than `silence`. Any message shows that a peer is alive, and pinging all of them
+/// doubled the wake-ups of an idle gateway.
 auto PeerLinks::Private::pingSilent(Duration silence) -> void
 {
     for (const auto &[id, link] : links) {
--- a/src/wire/peerlinks.h
+++ b/src/wire/peerlinks.h
@@ -1,7 +1,8 @@
-// The entry's connections to agents and to other entries: one for each, with a control stream; requests open further streams.
+// A gateway's connections to agents and to other gateways: one connection per process, with a control stream; each request opens a
+// further stream.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks   what agents say
+//   Hooks   events of the connections
 //   Links   PeerLinks
 #pragma once
 
@@ -22,15 +23,15 @@
 
 struct LinkHooks {
     std::function<void(const std::string &id, const Wire::Hello &hello)> onHello;
-    std::function<void(const std::string &id, const Wire::ControlFrame &frame)> onFrame; ///< all but hello and pong
-    std::function<void(const std::string &id)> onReceived; ///< any message: it is alive
+    std::function<void(const std::string &id, const Wire::ControlFrame &frame)> onFrame; ///< every frame but hello and pong
+    std::function<void(const std::string &id)> onReceived; ///< any message was received: the peer is alive
     std::function<void(const std::string &id)> onDown;
-    std::function<std::vector<Wire::ControlFrame>()> greeting; ///< sent when a connection is up: hello, configuration, plan
+    std::function<std::vector<Wire::ControlFrame>()> greeting; ///< frames to send once a connection is established: hello, configuration, plan
 };
 
 // [SECTION] Links
 
-/// Used for agents, and for the other entries.
+/// The connections to one kind of peer: agents or other gateways.
 class PeerLinks
 {
 public:
@@ -43,13 +44,13 @@
     auto isConnected(const std::string &id) const -> bool;
 
     // Commands
-    /// Connects to new hosts, and to moved ones anew; hosts that are no longer named are let go.
+    /// Connects to new hosts, reconnects to hosts whose endpoint has changed and closes the connections to hosts that are no longer listed.
     auto setHosts(const std::vector<ListedHost> &hosts) -> void;
-    /// A new request stream; null while not connected.
+    /// Opens a new request stream; null while not connected.
     auto open(const std::string &id) -> PeerStreamPtr;
-    auto send(const std::string &id, const Wire::ControlFrame &frame) -> void; ///< on the control stream; lost while not connected
+    auto send(const std::string &id, const Wire::ControlFrame &frame) -> void; ///< on the control stream; the frame is dropped while not connected
     auto sendAll(const Wire::ControlFrame &frame) -> void;
-    auto reconnect(const std::string &id) -> void; ///< it is silent though connected
+    auto reconnect(const std::string &id) -> void; ///< for a peer that is connected but no longer answers
 
     struct Private;
 
--- a/src/wire/peerserver.cpp
+++ b/src/wire/peerserver.cpp
@@ -1,4 +1,4 @@
-// The listening half of wire/peer.h.
+// Implements the server of wire/peer.h.
 #include "net/tls.h"
 #include "wire/connection.h"
 
@@ -46,8 +46,8 @@
 namespace
 {
 
-/// What a vhost's user pointer leads to. The vhost lives on for a while after lws_vhost_destroy(); this lives as long, so that
-/// a late callback finds that the server is gone.
+/// The target of a vhost's user pointer. The vhost continues to exist for a while after lws_vhost_destroy(), and this object as
+/// long, so that a late callback can detect that the server is destroyed.
 struct VhostOwner {
     std::weak_ptr<PeerServer::Private> server;
     std::string address; ///< libwebsockets keeps a pointer to it
@@ -101,12 +101,12 @@
         tlsRenewal = std::make_unique<TlsRenewal>(loop, options.tls, tls->native(), options.tlsCheck);
     }
     static const std::array<lws_protocols, 2> Protocols {{{"kingcup-peer", &Private::callback, 0, 0, 0, nullptr, PeerWriteBytes}, {}}};
-    auto *owner = new VhostOwner {weak_from_this(), endpoint.address}; // the vhost's, see deleteOwner()
+    auto *owner = new VhostOwner {weak_from_this(), endpoint.address}; // owned by the vhost, see deleteOwner()
     lws_context_creation_info info {};
     info.port = endpoint.port;
     info.iface = owner->address.c_str();
     info.protocols = Protocols.data();
-    info.vhost_name = "peer-server"; // kept as a pointer, like the address above
+    info.vhost_name = "peer-server"; // libwebsockets keeps the pointer, as for the address
     info.user = owner;
     info.finalize = &deleteOwner;
     info.finalize_arg = owner;
--- a/src/wire/session.cpp
+++ b/src/wire/session.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-/// Peers are our own processes: a burst of cancelled requests must not look like the attack that nghttp2 guards against
-/// by ending the connection (by default, beyond 1000 at once and 33 a second).
+/// Limits on received stream resets. Beyond its limit (by default 1000 at once and 33 per second), nghttp2 closes the connection as a
+/// protection against the rapid-reset attack. Peers are trusted processes, and a burst of cancelled requests must not trigger it.
 constexpr std::uint64_t ResetBurst = 1000000;
 constexpr std::uint64_t ResetsPerSecond = 100000;
-/// The connection's own window is given back on receipt: only streams are held back.
+/// The flow-control window of the connection is returned on receipt, so that only the windows of streams limit the sender.
 constexpr std::int32_t ConnectionWindow = 64 << 20;
 
 auto makeHeader(std::string_view name, std::string_view value) -> nghttp2_nv
@@ -65,7 +65,7 @@
 
 } // namespace
 
-/// What nghttp2 calls, with the session as user data.
+/// The callbacks of nghttp2; their user data is the session.
 struct SessionCallbacks {
     static auto self(void *user) -> PeerSession &
     {
@@ -111,7 +111,7 @@
         self(user).onStreamClosed(id, errorCode);
         return 0;
     }
-    /// Before, not after: a stream whose head may be in the socket's buffer must never end as Refused by mistake.
+    /// Marks a stream before its head is sent and not afterwards: a stream whose head may be in the socket's buffer must never end as Refused.
     static auto beforeSend(nghttp2_session * /*session*/, const nghttp2_frame *frame, void *user) -> int
     {
         if (isRequest(*frame)) {
@@ -180,7 +180,7 @@
     const std::array<nghttp2_settings_entry, 3> settings {{{NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, static_cast<std::uint32_t>(options.streamWindow)},
                                                            {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, options.maxStreams},
                                                            {NGHTTP2_SETTINGS_ENABLE_PUSH, 0}}};
-    // Only a client may speak of push.
+    // Only a client may send ENABLE_PUSH.
     const std::size_t count = m_role == SessionRole::Client ? settings.size() : settings.size() - 1;
     nghttp2_submit_settings(m_session, NGHTTP2_FLAG_NONE, settings.data(), count);
     nghttp2_session_set_local_window_size(m_session, NGHTTP2_FLAG_NONE, 0, ConnectionWindow);
--- a/src/wire/session.h
+++ b/src/wire/session.h
@@ -1,10 +1,10 @@
-// One nghttp2 session without its socket: bytes in, bytes out, streams in between. Internal to src/wire.
+// One nghttp2 session without its socket: turns received bytes into streams of messages and back. Internal to src/wire.
 //
-// A hook of a stream may call anything of its stream or session; nghttp2 allows submissions from its callbacks, and the
+// A hook of a stream may call any function of its stream or session: nghttp2 allows submissions from its callbacks, and the
 // session is kept alive until its callback has returned.
 //
 // Index of sections (search for [SECTION]):
-//   SessionStream   the one implementation of PeerStream
+//   SessionStream   the implementation of PeerStream
 //   PeerSession     the session
 #pragma once
 
@@ -40,14 +40,14 @@
     auto pause() -> void override;
     auto resume() -> void override;
 
-    // For the session alone:
+    // Called only by the session:
 
-    /// Copies the next bytes of the body for nghttp2, or defers.
+    /// Copies the next bytes of the body for nghttp2; defers if there are none.
     auto readBody(std::uint8_t *to, std::size_t capacity, std::uint32_t *flags) -> ssize_t;
     auto onData(std::string_view bytes) -> void;
     auto onRemoteEnd() -> void;
     auto onClosed(std::uint32_t errorCode) -> void;
-    /// The connection went.
+    /// The connection was lost.
     auto onConnectionLost() -> void;
     auto notifyDrained() -> void;
 
@@ -69,20 +69,20 @@
     std::int32_t m_id = 0;
     std::string m_path;
     MessageReader m_reader;
-    std::size_t m_unconsumed = 0; // received, window not yet given back
+    std::size_t m_unconsumed = 0; // received bytes that were not yet returned to the flow-control window
     std::string m_out;
-    std::size_t m_outAt = 0; // bytes of m_out already taken
-    bool m_answered = false; // server: the answer's head was submitted
-    bool m_deferred = false; // nghttp2 waits for us to have something to send
+    std::size_t m_outAt = 0; // bytes at the front of m_out that nghttp2 has read
+    bool m_answered = false; // server: the response headers were submitted
+    bool m_deferred = false; // nghttp2 waits until there is something to send
     bool m_finished = false; // finish() was called
     bool m_finishSent = false;
-    bool m_onWire = false; // the far side may have seen the stream
-    bool m_dataReceived = false; // the far side answered something
+    bool m_onWire = false; // the remote side may have received the start of the stream
+    bool m_dataReceived = false; // some bytes of messages were received
     bool m_remoteFinished = false;
     bool m_remoteFinishedReported = false;
     bool m_paused = false;
     bool m_delivering = false; // a hook is running under deliver()
-    bool m_closed = false; // m_end holds
+    bool m_closed = false; // m_end is set
     bool m_endReported = false;
     StreamEnd m_end = StreamEnd::Broken;
 };
@@ -90,8 +90,8 @@
 // [SECTION] PeerSession
 
 struct SessionHooks {
-    std::function<void()> wantWrite; ///< there is something to send
-    std::function<void()> onReady; ///< the far side has shown itself to be a peer
+    std::function<void()> wantWrite; ///< there are bytes to send
+    std::function<void()> onReady; ///< the remote side's HTTP/2 SETTINGS were received, so it is a peer
     std::function<void(const PeerStreamPtr &)> onStream; ///< server: a new stream
 };
 
@@ -104,20 +104,20 @@
     auto operator=(const PeerSession &) -> PeerSession & = delete;
 
     auto isReady() const -> bool;
-    auto isOver() const -> bool; ///< neither side has more to say: close the connection
+    auto isOver() const -> bool; ///< neither side will send more: the connection can be closed
     auto wantsWrite() const -> bool;
     auto fault() const -> const std::string &; ///< why receive() failed
-    auto streams() const -> std::size_t; ///< open on the wire
+    auto streams() const -> std::size_t; ///< number of open streams
 
-    /// Takes what the socket received. False if the connection can't be read on; see fault().
+    /// Processes bytes from the socket. False if the connection can't go on; see fault().
     auto receive(std::string_view bytes) -> bool;
-    /// Copies what is to be sent, as much as fits; the number of bytes.
+    /// Copies bytes to send, as many as fit; returns their number.
     auto fill(unsigned char *to, std::size_t capacity) -> std::size_t;
-    /// Calls onDrained of the streams that fill() emptied.
+    /// Calls onDrained of the streams whose pending bytes were all copied by fill().
     auto notifyDrained() -> void;
-    /// A new stream; null if the session takes no more.
+    /// Opens a new stream; null if the session can open no more.
     auto open(const std::string &path) -> PeerStreamPtr;
-    /// The connection is gone: every open stream hears its end.
+    /// To be called when the connection is lost: ends every open stream.
     auto breakStreams() -> void;
 
 private:
@@ -141,9 +141,9 @@
     nghttp2_session *m_session = nullptr;
     std::unordered_map<std::int32_t, std::shared_ptr<SessionStream>> m_streams;
     std::vector<std::shared_ptr<SessionStream>> m_drained;
-    std::string_view m_leftover; // given by nghttp2, not yet copied out; valid until it is asked again
+    std::string_view m_leftover; // bytes from nghttp2 not yet copied by fill(); valid until nghttp2_session_mem_send() is called again
     std::string m_fault;
-    std::string m_libraryError; // nghttp2's last error in words
+    std::string m_libraryError; // text of nghttp2's last error
     bool m_ready = false;
 };
 
--- a/src/wire/stream.cpp
+++ b/src/wire/stream.cpp
@@ -1,4 +1,4 @@
-// The stream half of wire/session.h.
+// Implements SessionStream of wire/session.h.
 #include "wire/session.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Sent bytes are dropped from the front of the buffer once they are more than this and more than half of it.
+/// Sent bytes are removed from the front of the buffer once they exceed this size and half of the buffer.
 constexpr std::size_t CompactBytes = 64U << 10U;
 
 } // namespace
@@ -76,7 +76,7 @@
 
 auto SessionStream::refuse() -> void
 {
-    // After an answer has begun, "refused" would tell the far side that nothing was done, and it would send the request again.
+    // Once an answer has begun, REFUSED_STREAM would tell the client that nothing was done, and it would send the request again.
     resetWith(m_answered ? NGHTTP2_CANCEL : NGHTTP2_REFUSED_STREAM);
 }
 
@@ -104,12 +104,12 @@
     }
     m_paused = false;
     if (!m_delivering && !m_endReported) {
-        // Not from within the caller's call: it may be in the middle of its own bookkeeping.
+        // By a posted task: the caller of resume() may be in the middle of changing its own state.
         m_loop.post([self = shared_from_this()] { self->deliver(); });
     }
 }
 
-/// Server: the head of the answer goes out with its first message, so that refuse() stays possible until then.
+/// Server: submits the response headers. This happens with the first message, so that refuse() stays possible until then.
 auto SessionStream::startAnswer() -> void
 {
     m_answered = true;
@@ -184,7 +184,7 @@
     deliver();
 }
 
-/// Hands on what has arrived, in order: messages, the far side's finish, the end.
+/// Calls the hooks for what was received, in order: messages, the remote side's finish, the end.
 auto SessionStream::deliver() -> void
 {
     if (m_delivering || m_endReported) {
@@ -222,7 +222,7 @@
     }
 }
 
-/// Gives the far side its window back for what was taken; a paused stream keeps what it has yet to take.
+/// Returns consumed bytes to the flow-control window; a paused stream withholds the bytes that it hasn't read yet.
 auto SessionStream::consume() -> void
 {
     const std::size_t held = m_paused ? std::min(m_unconsumed, m_reader.bufferedBytes()) : 0;
@@ -270,11 +270,11 @@
 {
     m_endReported = true;
     if (m_reader.bufferedBytes() > 0) {
-        // The far side finished in the middle of a message. Taken for complete, the part would pass for a whole answer.
+        // The remote side finished in the middle of a message: a partial answer must not be taken for complete.
         m_end = m_end == StreamEnd::Complete ? StreamEnd::Broken : m_end;
     }
     const auto hook = std::move(onEnd);
-    // The hooks often hold the stream itself; letting go of them here breaks that cycle.
+    // The hooks often own the stream; clearing them breaks the reference cycle.
     onEnd = nullptr;
     onMessage = nullptr;
     onDrained = nullptr;
--- a/src/wire/suspectsmessage.h
+++ b/src/wire/suspectsmessage.h
@@ -1,4 +1,4 @@
-// What processes tell each other of requests that crash targets, as a message.
+// Converts the digest of suspects (requests that crash targets), which processes exchange, to and from its message.
 #pragma once
 
 #include "core/suspects.h"
--- a/src/wire/tlschannel.cpp
+++ b/src/wire/tlschannel.cpp
@@ -11,16 +11,16 @@
 namespace
 {
 
-constexpr std::size_t ReadBytes = 16U << 10U; // the most that one TLS record holds
+constexpr std::size_t ReadBytes = 16U << 10U; // the maximum size of a TLS record
 
 auto describeError() -> std::string
 {
     constexpr std::size_t TextBytes = 256;
     std::array<char, TextBytes> text {};
-    const auto code = ERR_peek_last_error(); // the last is the nearest to the connection
+    const auto code = ERR_peek_last_error(); // the last error of the queue is the most specific to the connection
     ERR_clear_error();
     if (code == 0) {
-        return "closed by the far side";
+        return "closed by the remote side";
     }
     ERR_error_string_n(code, text.data(), text.size());
     return text.data();
@@ -34,7 +34,7 @@
     BIO *out = nullptr; // owned by ssl
     std::string fault;
 
-    /// False if `result` of a call on ssl is an error, other than that more bytes are needed.
+    /// False, with `fault` set, if the `result` of a call on ssl is an error other than that more bytes are needed.
     auto isFine(int result) -> bool
     {
         const int error = SSL_get_error(ssl, result);
--- a/src/wire/tlschannel.h
+++ b/src/wire/tlschannel.h
@@ -1,7 +1,7 @@
-// TLS of one connection between peers, as bytes in and bytes out. Internal to src/wire.
+// TLS of one connection between peers, on memory buffers instead of a socket. Internal to src/wire.
 //
-// libwebsockets 4.1 starts the TLS handshake of an outgoing raw connection before there is a socket, and so never connects; therefore
-// the library's memory buffers stand between its plain raw sockets and the session.
+// libwebsockets 4.1 starts the TLS handshake of an outgoing raw connection before there is a socket, and so never connects. Therefore its
+// raw sockets are used without TLS, and OpenSSL encrypts and decrypts between them and the session.
 #pragma once
 
 #include <cstddef>
@@ -26,16 +26,16 @@
     auto operator=(const TlsChannel &) -> TlsChannel & = delete;
 
     auto isEstablished() const -> bool; ///< the handshake is done: send() may be called
-    auto pendingBytes() const -> std::size_t; ///< encrypted, to be taken
+    auto pendingBytes() const -> std::size_t; ///< encrypted bytes to be moved out by take()
     auto fault() const -> const std::string &; ///< why receive() failed
 
-    /// Begins the handshake; a client has bytes to send then.
+    /// Begins the handshake; a client has bytes to send afterwards.
     auto start() -> void;
-    /// Takes what the socket received and calls `onPlain` for what it held, while that returns true. False if the connection can't
-    /// go on.
+    /// Decrypts bytes from the socket and calls `onPlain` with the plain text, as long as it returns true. False if the connection
+    /// can't go on.
     auto receive(std::string_view encrypted, const std::function<bool(std::string_view plain)> &onPlain) -> bool;
     auto send(std::string_view plain) -> void;
-    /// Moves encrypted bytes out; the number of bytes.
+    /// Moves encrypted bytes to `to`; returns their number.
     auto take(unsigned char *to, std::size_t capacity) -> std::size_t;
 
 private:
--- a/tests/certificates.h
+++ b/tests/certificates.h
@@ -1,4 +1,4 @@
-// Certificates for tests, made by the openssl tool when the test runs.
+// Certificates for tests, created by the openssl tool while the test runs.
 #pragma once
 
 #include "core/endpoint.h"
@@ -12,7 +12,7 @@
 namespace KingCup
 {
 
-/// An authority in a folder of its own, which goes with it.
+/// A certificate authority in a temporary folder, which is removed with it.
 class TestAuthority
 {
 public:
@@ -30,7 +30,7 @@
     TestAuthority(const TestAuthority &) = delete;
     auto operator=(const TestAuthority &) -> TestAuthority & = delete;
 
-    /// Makes, or makes anew, a signed certificate and its key.
+    /// Creates, or replaces, a signed certificate and its key.
     auto issue(const std::string &name) -> TlsFiles
     {
         run("req -newkey ec -pkeyopt ec_paramgen_curve:prime256v1 -nodes -subj /CN=" + name + " -keyout " + name + ".new -out " + name + ".csr");
@@ -43,7 +43,7 @@
     auto run(const std::string &arguments) -> void
     {
         const auto command = "cd " + m_folder.string() + " && openssl " + arguments + " >openssl.log 2>&1";
-        if (std::system(command.c_str()) != 0) { // NOLINT(concurrency-mt-unsafe): tests make certificates before their threads
+        if (std::system(command.c_str()) != 0) { // NOLINT(concurrency-mt-unsafe): tests create certificates before they start threads
             throw std::runtime_error("openssl failed: " + command);
         }
     }
--- a/tests/fuzz_wire.cpp
+++ b/tests/fuzz_wire.cpp
@@ -1,4 +1,5 @@
-// What an agent's port must bear: bytes of anybody, cut anywhere. Bounded in number, seeded, so that every run is the same.
+// Robustness of an agent's port against arbitrary bytes in pieces of any size. The number of rounds and the seeds are fixed, so that every
+// run is the same.
 #include "kingcup/wire.pb.h"
 #include "net/eventloop.h"
 #include "wire/framing.h"
@@ -31,7 +32,7 @@
     return data;
 }
 
-/// What a peer's client sends for one stream with a few messages.
+/// The bytes that a client session sends for one stream with a few messages.
 auto clientBytes(EventLoop &loop, std::mt19937 &random) -> std::string
 {
     const auto session = std::make_shared<PeerSession>(loop, SessionRole::Client, PeerOptions {}, SessionHooks {});
@@ -65,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("fuzz: messages come out as they went in, however the bytes are cut")
+TEST_CASE("fuzz: messages are read as they were written, in pieces of any size")
 {
     std::mt19937 random(1);
     for (int round = 0; round < Rounds; ++round) {
@@ -92,7 +93,7 @@
     }
 }
 
-TEST_CASE("fuzz: a reader of random bytes gives no message over its limit and never holds more than it was given")
+TEST_CASE("fuzz: a reader of random bytes returns no message over its limit and never buffers more than it was given")
 {
     std::mt19937 random(2);
     for (int round = 0; round < Rounds; ++round) {
--- a/tests/played_stream.h
+++ b/tests/played_stream.h
@@ -1,4 +1,4 @@
-// A request stream for unit tests.
+// A fake request stream for unit tests.
 #pragma once
 
 #include "wire/messages.h"
@@ -11,7 +11,7 @@
 namespace KingCup
 {
 
-/// A request stream whose other end is played by the test: an agent's before flows, an entry's before an agent's tasks.
+/// A request stream whose remote side is the test: it acts as the agent towards a gateway's code, or as the gateway towards an agent's.
 class PlayedStream : public PeerStream
 {
 public:
@@ -85,13 +85,13 @@
         answer(frame);
     }
 
-    std::vector<Wire::EntryFrame> sent; ///< what was sent, read as an entry's
-    std::vector<Wire::AgentFrame> answers; ///< the same, read as an agent's
+    std::vector<Wire::EntryFrame> sent; ///< the messages that were sent, parsed as those of a gateway
+    std::vector<Wire::AgentFrame> answers; ///< the messages that were sent, parsed as those of an agent
 
 private:
     auto answer(const google::protobuf::MessageLite &frame) -> void
     {
-        const auto hook = onMessage; // the hook may let go of this stream
+        const auto hook = onMessage; // a copy: the hook may destroy this stream
         hook(frame.SerializeAsString());
     }
     std::string m_path = "/request";
--- a/tests/rawcaller.h
+++ b/tests/rawcaller.h
@@ -1,4 +1,4 @@
-// A caller that speaks bytes, for what no well-behaved client would send. Blocks in a thread of its own.
+// A caller that sends raw bytes, for requests that no correct client would send. Runs blocking in a thread of its own.
 #pragma once
 
 #include <arpa/inet.h>
@@ -13,8 +13,8 @@
 
 /// What a raw caller does after it has sent its bytes.
 enum class RawAfter {
-    Read, ///< waits for the server to close, up to `timeoutSeconds` seconds without a byte
-    Close, ///< leaves at once
+    Read, ///< reads until the server closes, or until `timeoutSeconds` pass without a byte
+    Close, ///< closes the connection at once
 };
 
 struct RawAnswer {
@@ -22,7 +22,7 @@
     bool isClosed = false; ///< by the server
 };
 
-/// Sends `bytes` to a port of this host and collects what comes back.
+/// Sends `bytes` to a port of the loopback address and collects the answer.
 inline auto rawCall(int port, std::string bytes, RawAfter after, int timeoutSeconds = 5) -> std::future<RawAnswer>
 {
     return std::async(std::launch::async, [port, bytes = std::move(bytes), after, timeoutSeconds] {
--- a/tests/scripted_server.h
+++ b/tests/scripted_server.h
@@ -1,4 +1,4 @@
-// A server on this machine that answers whatever a test tells it to, byte by byte.
+// A server on the loopback address that answers exactly the bytes that a test gives it.
 #pragma once
 
 #include "net/httpreader.h"
@@ -15,16 +15,16 @@
 
 /// One accepted connection.
 struct ScriptedConnection {
-    std::unique_ptr<TcpStream> stream; ///< reset it to close
+    std::unique_ptr<TcpStream> stream; ///< reset the pointer to close the connection
     HttpReader reader {HttpReader::Kind::Request, 1U << 20U};
     std::string body;
-    int requests = 0; ///< read so far
+    int requests = 0; ///< requests read so far
 };
 
 class ScriptedServer
 {
 public:
-    /// Called with each whole request; write to connection.stream, or reset it.
+    /// Called with each complete request; answers by a write to connection.stream, or resets it.
     using Handler = std::function<void(ScriptedConnection &connection, const HttpHead &head, const std::string &body)>;
 
     ScriptedServer(EventLoop &loop, Handler handler)
--- a/tests/unit_http.cpp
+++ b/tests/unit_http.cpp
@@ -9,7 +9,7 @@
 
 constexpr auto Limit = Duration::seconds(20);
 
-/// A server and a client on one loop; `handler` answers.
+/// A server and a client on one event loop; `handler` answers the requests.
 struct Pair {
     EventLoop loop;
     HttpServer server;
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a request arrives whole and its answer too")
+TEST_CASE("a request and its answer arrive complete")
 {
     HttpRequest seen;
     Pair pair([&](const auto &exchange) {
@@ -56,10 +56,10 @@
     REQUIRE(seen.body.size() == 300000);
 }
 
-TEST_CASE("a path and a query arrive in a form that can be passed on")
+TEST_CASE("the path and query of a request can be forwarded unchanged")
 {
-    // Decoded, an encoded line end would end the request line towards a plain service: the caller could write headers of its own,
-    // or a request that nobody counted. A "+" of a telephone number would become a space.
+    // If they were forwarded decoded, an encoded line end would end the request line towards a plain service: a caller could inject
+    // headers or an uncounted request. A "+" (as in a telephone number) would become a space.
     HttpRequest seen;
     Pair pair([&](const auto &exchange) {
         seen = exchange->request();
@@ -72,7 +72,7 @@
 
 TEST_CASE("an encoded line end in a request line is refused")
 {
-    // Cut off there, a call to "/debits%0a/cancel" would become a call to "/debits".
+    // libwebsockets cuts the request line off at the line end: a call to "/debits%0a/cancel" would become a call to "/debits".
     int handled = 0;
     Pair pair([&](const auto &exchange) {
         ++handled;
@@ -85,9 +85,9 @@
     REQUIRE(pair.call({.path = "/debits"}).status == 200);
 }
 
-TEST_CASE("a short streamed answer is whole although its connection closes at once")
+TEST_CASE("a short streamed answer is complete although its connection closes at once")
 {
-    // Head, body and end mark come in one packet together with the close; the close alone must not make it look cut off.
+    // Head, body and end marker arrive in one packet together with the close. The answer must not be reported as cut off.
     Pair pair([&](const auto &exchange) {
         exchange->begin(200, {});
         exchange->write("short");
@@ -98,7 +98,7 @@
     REQUIRE(answer.body == "short");
 }
 
-TEST_CASE("a streamed answer arrives whole, however large")
+TEST_CASE("a large streamed answer arrives complete")
 {
     Pair pair([&](const auto &exchange) {
         exchange->begin(200, {{"content-type", "text/event-stream"}});
@@ -111,10 +111,9 @@
     REQUIRE(answer.body.size() == 1000003);
 }
 
-TEST_CASE("an answer that is cut off is not taken for whole")
+TEST_CASE("a chunked answer that is cut off is not reported as complete")
 {
-    // The server dies or gives up in the middle of a stream. Were the part taken for the whole, the caller would read half an answer
-    // as if it were all.
+    // The server dies or aborts in the middle of a stream. The caller must not take the partial answer for a complete one.
     Timer later;
     Pair pair([&](const std::shared_ptr<HttpExchange> &exchange) {
         exchange->begin(200, {});
@@ -125,14 +124,14 @@
     REQUIRE(answer.end == CallEnd::Broken);
 }
 
-TEST_CASE("an answer with a stated length that is cut off is not taken for whole")
+TEST_CASE("an exchange that is aborted before its answer has begun ends as Broken")
 {
     Timer later;
     Pair pair([&](const std::shared_ptr<HttpExchange> &exchange) { later = pair.loop.after(Duration::millis(20), [exchange] { exchange->abort(); }); });
     REQUIRE(pair.call({.path = "/"}).end == CallEnd::Broken);
 }
 
-TEST_CASE("a call to a closed port is known not to have been sent")
+TEST_CASE("a call to a closed port ends as NotSent")
 {
     Pair pair([](const auto &exchange) { exchange->respond(200, {}, ""); });
     HttpAnswer answer;
@@ -153,7 +152,7 @@
     REQUIRE(answer.status == 413);
 }
 
-TEST_CASE("a caller that leaves is noticed")
+TEST_CASE("the disconnect of a caller is detected")
 {
     bool left = false;
     bool seen = false;
@@ -169,7 +168,7 @@
     REQUIRE(pair.loop.runUntil([&] { return left; }, Limit));
 }
 
-TEST_CASE("a paused reader holds back the server")
+TEST_CASE("a paused client stops the server by flow control")
 {
     std::shared_ptr<HttpExchange> held;
     constexpr std::size_t Total = 32U << 20U;
@@ -216,9 +215,9 @@
     REQUIRE(ran >= 4);
 }
 
-TEST_CASE("a waiting loop sees at once what a posted task did")
+TEST_CASE("runUntil() checks its condition right after a posted task")
 {
-    // The task ran and the loop then slept until some other event came: tools and tests that waited for it hung until their time limit.
+    // Guards against a loop that runs the task and then sleeps until some other event: waiting tools and tests hung until their time limit.
     EventLoop loop;
     bool done = false;
     const auto start = loop.now();
--- a/tests/unit_httplimits.cpp
+++ b/tests/unit_httplimits.cpp
@@ -12,12 +12,12 @@
 
 constexpr auto Limit = Duration::seconds(30);
 
-/// A server that answers every request with its body, and callers that speak bytes.
+/// A server that echoes the body of every request, and callers that send raw bytes.
 struct Server {
     EventLoop loop;
     int handled = 0;
     HttpServer server;
-    Timer tick = loop.every(Duration::millis(5), [] {}); // the callers' threads make no event here
+    Timer tick = loop.every(Duration::millis(5), [] {}); // makes runUntil() check its condition: the callers' threads cause no event in this loop
 
     explicit Server(HttpServerOptions options = {})
         : server(loop, std::move(options), [this](const auto &exchange) {
@@ -41,9 +41,9 @@
 
 } // namespace
 
-TEST_CASE("a 20 MB header is turned away and others are served")
+TEST_CASE("a 20 MB header is refused and other requests are served")
 {
-    // Kept whole, a few such callers would take an entry's memory.
+    // If headers were buffered without limit, a few such callers would exhaust a gateway's memory.
     Server server;
     const auto answer = server.send("GET / HTTP/1.1\r\nhost: x\r\nx-big: " + std::string(20U << 20U, 'a') + "\r\n\r\n");
     REQUIRE(answer.isClosed);
@@ -51,7 +51,7 @@
     REQUIRE(server.isResponsive());
 }
 
-TEST_CASE("many headers that are too large together are turned away")
+TEST_CASE("many headers that exceed the limit together are refused")
 {
     Server server;
     std::string headers;
@@ -66,14 +66,14 @@
 
 TEST_CASE("a request whose body was cut off is not handled")
 {
-    // Half a debit must not be posted.
+    // An incomplete request, such as half a debit, must not be executed.
     Server server;
     server.send("POST /debits HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\nminutes=1", RawAfter::Close);
     REQUIRE(server.isResponsive());
     REQUIRE(server.handled == 1);
 }
 
-TEST_CASE("callers that send their headers or body too slowly are cut off")
+TEST_CASE("callers that send their headers or body too slowly are disconnected")
 {
     Server server(HttpServerOptions {.headerTimeout = Duration::seconds(1)});
     auto slowHeader = rawCall(server.server.port(), "GET / HTTP/1.1\r\nhost:", RawAfter::Read, 15);
@@ -86,7 +86,7 @@
     REQUIRE(server.isResponsive());
 }
 
-TEST_CASE("callers over the limit of connections are turned away until there is room")
+TEST_CASE("connections over the limit are rejected until others have closed")
 {
     Server server(HttpServerOptions {.maxConnections = 2});
     std::vector<std::future<RawAnswer>> idle;
@@ -102,16 +102,16 @@
     REQUIRE(server.loop.runUntil([&] { return server.isResponsive(); }, Limit));
 }
 
-TEST_CASE("requests that follow each other on one connection are all answered, in order")
+TEST_CASE("consecutive requests on one connection are all answered, in order")
 {
     Server server;
     const auto answer = server.send("GET /a HTTP/1.1\r\nhost: x\r\n\r\nGET /b HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     REQUIRE(countOf(answer.text, "200 OK") == 2);
 }
 
-TEST_CASE("bytes behind a body don't stop the process")
+TEST_CASE("bytes after a body don't block the process")
 {
-    // libwebsockets reported the end of such a body for ever: one caller could stop an entry for everybody.
+    // libwebsockets reports the end of such a body again and again without returning to the loop: one caller could block a gateway.
     Server server;
     server.send("POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\n\r\noneextra", RawAfter::Read, 1);
     REQUIRE(server.isResponsive());
@@ -120,7 +120,7 @@
     REQUIRE(server.isResponsive());
 }
 
-TEST_CASE("requests that make no sense are refused or closed, and never handled")
+TEST_CASE("malformed requests are refused or their connections closed, and never handled")
 {
     Server server;
     for (const std::string text : {"\r\n\r\n\r\n",
--- a/tests/unit_httppool.cpp
+++ b/tests/unit_httppool.cpp
@@ -1,4 +1,4 @@
-// The client over kept connections, against servers that misbehave.
+// The HTTP client with persistent connections, against servers that violate the protocol.
 #include "net/httppool.h"
 #include "tests/scripted_server.h"
 
@@ -18,7 +18,7 @@
     std::string body;
 };
 
-/// Starts a call that takes only answers which bear its own number.
+/// Starts a call that accepts only answers that carry its own number.
 auto startCall(HttpPool &pool, const Endpoint &server, int number, Duration maxIdleTime = Duration::seconds(60)) -> std::shared_ptr<CallRecord>
 {
     auto seen = std::make_shared<CallRecord>();
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("a connection is used again, unless it may not be")
+TEST_CASE("a connection is reused, unless the call forbids it")
 {
     PoolFixture fixture(
         [](ScriptedConnection &connection, const HttpHead &head, const std::string & /*body*/) { connection.stream->write(answerTo(head, "ok")); });
@@ -84,7 +84,7 @@
     CHECK_FALSE(fixture.call(4)->end.wasReused);
 }
 
-TEST_CASE("a connection that the server says it will close is not used again")
+TEST_CASE("a connection that the server announces to close is not reused")
 {
     PoolFixture fixture([](ScriptedConnection &connection, const HttpHead &head, const std::string & /*body*/) {
         connection.stream->write(answerTo(head, "ok", "Connection: close\r\n"));
@@ -93,9 +93,9 @@
     CHECK_FALSE(fixture.call(2)->end.wasReused);
 }
 
-TEST_CASE("a server's stated idle timeout is kept to with a margin")
+TEST_CASE("a connection is not reused shortly before the server's stated idle timeout")
 {
-    // A connection that the server is about to close takes the next request with it, and a debit on it may or may not have been made.
+    // A request on a connection that the server is just closing fails, and it is unknown whether it was executed (a debit, say).
     PoolFixture fixture([](ScriptedConnection &connection, const HttpHead &head, const std::string & /*body*/) {
         connection.stream->write(answerTo(head, "ok", "Keep-Alive: timeout=1\r\n"));
     });
@@ -103,9 +103,9 @@
     CHECK_FALSE(fixture.call(2)->end.wasReused);
 }
 
-TEST_CASE("a late answer to an earlier call is skipped, and the own one taken")
+TEST_CASE("a late answer to an earlier call is skipped and the right one accepted")
 {
-    // A faulty server sends the answer to another request first. Taken for the own one, a caller would get somebody else's record.
+    // A faulty server sends the answer to another request first. If it were accepted, a caller would get the data of another caller.
     PoolFixture fixture([](ScriptedConnection &connection, const HttpHead &head, const std::string & /*body*/) {
         connection.stream->write("HTTP/1.1 200 OK\r\nNumber: 77\r\nContent-Length: 5\r\n\r\nwrong" + answerTo(head, "right"));
     });
@@ -114,7 +114,7 @@
     CHECK(seen->body == "right");
 }
 
-TEST_CASE("bytes behind a whole answer belong to nobody: the connection is closed")
+TEST_CASE("bytes after a complete answer close the connection")
 {
     PoolFixture fixture([](ScriptedConnection &connection, const HttpHead &head, const std::string & /*body*/) {
         connection.stream->write(answerTo(head, "ok") + answerTo(head, "again"));
@@ -125,7 +125,7 @@
     CHECK(second->body == "ok");
 }
 
-TEST_CASE("bytes that come while no answer is due close the connection")
+TEST_CASE("bytes that arrive when no answer is due close the connection")
 {
     PoolFixture fixture(
         [](ScriptedConnection &connection, const HttpHead &head, const std::string & /*body*/) { connection.stream->write(answerTo(head, "ok")); });
@@ -137,7 +137,7 @@
     CHECK_FALSE(seen->end.wasReused);
 }
 
-TEST_CASE("an answer that is cut, or reset without a length, is broken and not whole")
+TEST_CASE("an answer that is cut off, or without a length and reset, ends as Broken")
 {
     int mode = 0;
     PoolFixture fixture([&mode](ScriptedConnection &connection, const HttpHead &head, const std::string & /*body*/) {
@@ -160,7 +160,7 @@
     CHECK(seen->body == "all of it");
 }
 
-TEST_CASE("a server that isn't there: certainly not sent")
+TEST_CASE("a call to an unreachable server is reported as not sent")
 {
     EventLoop loop;
     HttpPool pool(loop);
@@ -175,7 +175,7 @@
     CHECK_FALSE(seen->end.wasSent);
 }
 
-TEST_CASE("a call that is cancelled in its own hook harms nothing")
+TEST_CASE("a call can be cancelled within its own hook")
 {
     EventLoop loop;
     HttpPool pool(loop);
--- a/tests/unit_httpreader.cpp
+++ b/tests/unit_httpreader.cpp
@@ -1,4 +1,4 @@
-// HTTP messages out of bytes, in any pieces.
+// Parsing of HTTP messages that arrive in pieces of any size.
 #include "net/httpreader.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
     std::size_t used = 0;
 };
 
-/// Feeds the text in pieces of `step` bytes until the message is complete, broken, or all is read.
+/// Feeds the text in pieces of `step` bytes until the message is complete or has a fault, or all is read.
 auto feedAll(HttpReader &reader, const std::string &text, std::size_t step) -> Read
 {
     Read read;
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("a request is read whole, in pieces of any size, and what follows it stays")
+TEST_CASE("a request is parsed from pieces of any size, and bytes after it are left")
 {
     const std::string text = "POST /a/b?c=%0d%0a&d=1 HTTP/1.1\r\nHost: h\r\nX-Some:  v \r\nContent-Length: 5\r\n\r\nhelloGET /next";
     for (std::size_t step = 1; step <= text.size(); ++step) {
@@ -46,7 +46,7 @@
     }
 }
 
-TEST_CASE("chunked bodies are unframed, and trailers don't become headers")
+TEST_CASE("chunked bodies are decoded, and trailers don't become headers")
 {
     HttpReader reader(HttpReader::Kind::Request, HeadBytes);
     const auto read = feedAll(reader, "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nLate: 1\r\n\r\n", 4);
@@ -56,10 +56,10 @@
     CHECK_FALSE(findHeader(reader.head().headers, "Late"));
 }
 
-TEST_CASE("what could be read in two ways is refused")
+TEST_CASE("requests with ambiguous framing are refused")
 {
-    // A caller hides a second request inside the first by framing it twice. If we and the target read the frame differently, the target runs
-    // a request that nobody is known to have sent.
+    // Request smuggling: a caller hides a second request in the first by framing it in two ways. If the gateway and the target interpret the
+    // framing differently, the target executes a request that the gateway hasn't seen.
     for (const std::string text : {"POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                                    "POST / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
                                    "POST / HTTP/1.1\r\nContent-Length: five\r\n\r\nhello",
@@ -74,14 +74,14 @@
     }
 }
 
-TEST_CASE("a head beyond its limit is told apart from a malformed one")
+TEST_CASE("a head over the size limit is distinguished from a malformed one")
 {
     HttpReader reader(HttpReader::Kind::Request, HeadBytes);
     feedAll(reader, "GET / HTTP/1.1\r\nX: " + std::string(2000, 'x') + "\r\n\r\n", 100);
     CHECK(reader.fault() == HttpFault::TooLarge);
 }
 
-TEST_CASE("an answer without a length is whole only when its connection was closed in order")
+TEST_CASE("an answer without a length is complete only when its connection was closed in order")
 {
     HttpReader reader(HttpReader::Kind::Answer, HeadBytes);
     const auto read = feedAll(reader, "HTTP/1.1 200 OK\r\nX: 1\r\n\r\nsome", 7);
@@ -97,7 +97,7 @@
     CHECK_FALSE(cut.feedEnd());
 }
 
-TEST_CASE("one reader takes message after message")
+TEST_CASE("one reader parses consecutive messages")
 {
     HttpReader reader(HttpReader::Kind::Answer, HeadBytes);
     for (int i = 0; i < 3; ++i) {
@@ -109,7 +109,7 @@
     }
 }
 
-TEST_CASE("headers of one connection are not passed on")
+TEST_CASE("hop-by-hop headers are not forwarded")
 {
     CHECK(isHopByHop("Transfer-Encoding", ""));
     CHECK(isHopByHop("keep-alive", ""));
--- a/tests/unit_tls.cpp
+++ b/tests/unit_tls.cpp
@@ -16,7 +16,7 @@
 
 constexpr auto Limit = Duration::seconds(20);
 
-/// Ends as the call ended, with the server's name in its certificate unchecked.
+/// Makes a call and returns how it ended. The server's name in its certificate isn't checked.
 auto callWithTls(EventLoop &loop, int port, const TlsFiles &tls) -> CallEnd
 {
     HttpClient client(loop, tls);
@@ -35,7 +35,7 @@
     exchange->respond(200, {}, "ok");
 }
 
-/// Whether a client with `clientFiles` gets through to a server with `serverFiles`.
+/// Whether a client with `clientFiles` can connect to a server with `serverFiles`.
 auto canPeersConnect(const TlsFiles &serverFiles, const TlsFiles &clientFiles) -> bool
 {
     EventLoop loop;
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("callers are served over TLS, and only trust the authority they know")
+TEST_CASE("callers are served over TLS and accept only certificates of their authority")
 {
     TestAuthority authority;
     TestAuthority otherAuthority;
@@ -82,7 +82,7 @@
     REQUIRE(callWithTls(loop, server.port(), otherFiles) == CallEnd::NotSent);
 }
 
-TEST_CASE("a plain caller of a TLS port is closed and harms nobody")
+TEST_CASE("a connection without TLS to a TLS port is closed and affects no other")
 {
     TestAuthority authority;
     EventLoop loop;
@@ -91,9 +91,9 @@
     REQUIRE(callWithTls(loop, server.port(), {.authority = authority.issue("x").authority}) == CallEnd::Complete);
 }
 
-TEST_CASE("peers meet only if both sides' certificates are signed by the authority")
+TEST_CASE("peers connect only if the certificates of both sides are signed by the authority")
 {
-    // Whoever can reach an agent's port could otherwise order work on its target, or pose as the agent and take callers' requests.
+    // Otherwise anybody on the network could send work to an agent's target, or pose as the agent and receive callers' requests.
     TestAuthority authority;
     TestAuthority otherAuthority;
     const auto agent = authority.issue("agent");
@@ -109,7 +109,7 @@
     REQUIRE_FALSE(canPeersConnect({}, entry));
 }
 
-TEST_CASE("renewed certificates are taken without a restart")
+TEST_CASE("renewed certificates are loaded without a restart")
 {
     TestAuthority authority;
     const auto files = authority.issue("agent");
@@ -139,9 +139,9 @@
     REQUIRE(callWithTls(loop, server.port(), newTrust) == CallEnd::Complete);
 }
 
-TEST_CASE("files that don't fit together are not taken")
+TEST_CASE("a certificate and key that don't match are not loaded")
 {
-    // Certificate and key are replaced one after the other. Loaded in between, every new connection would fail.
+    // Certificate and key are replaced one after the other. If they were loaded in between, every new connection would fail.
     TestAuthority authority;
     const auto files = authority.issue("agent");
     const auto other = authority.issue("other");
--- a/tests/unit_wire.cpp
+++ b/tests/unit_wire.cpp
@@ -32,7 +32,7 @@
     return data.ParseFromArray(message.data(), static_cast<int>(message.size())) ? data.body() : "not a message";
 }
 
-/// A stream with what it has seen.
+/// Records the events of a stream.
 struct StreamRecorder {
     PeerStreamPtr stream;
     std::vector<std::string> bodies;
@@ -58,7 +58,7 @@
     }
 };
 
-/// Answers each message with itself and finishes after the far side.
+/// Echoes each message and finishes after the remote side.
 auto echo(const PeerStreamPtr &stream) -> void
 {
     stream->onMessage = [weak = std::weak_ptr(stream)](std::string_view message) {
@@ -100,7 +100,7 @@
     }
 };
 
-/// An echoing server with a loop and a thread of its own: destroying it closes its sockets as a process's death does.
+/// An echo server with a loop and a thread of its own. Its destruction closes its sockets as the death of a process does.
 class ServerThread
 {
 public:
@@ -138,7 +138,7 @@
 
 } // namespace
 
-TEST_CASE("messages come back whole and in order, and the stream ends complete")
+TEST_CASE("messages are echoed complete and in order, and the stream ends as Complete")
 {
     Peers peers;
     StreamRecorder watched;
@@ -155,7 +155,7 @@
     REQUIRE_FALSE(watched.stream->isOpen());
 }
 
-TEST_CASE("many streams of one connection don't mix")
+TEST_CASE("messages of many streams on one connection aren't mixed up")
 {
     Peers peers;
     constexpr int Count = 1000;
@@ -172,7 +172,7 @@
     }
 }
 
-TEST_CASE("a large message passes a small window")
+TEST_CASE("a message larger than the flow-control window gets through")
 {
     Peers peers(PeerOptions {.streamWindow = 64U << 10U});
     StreamRecorder watched;
@@ -189,10 +189,10 @@
     REQUIRE(watched.stream->pendingBytes() == 0);
 }
 
-TEST_CASE("a paused reader holds back the writer, and only its own stream")
+TEST_CASE("a paused receiver blocks the sender of its own stream only")
 {
-    // A caller on a slow line takes its answer slowly. Were nothing to hold back the far side, the whole answer would pile up in the
-    // entry's memory; were the connection held back, every other caller would wait for the slow one.
+    // A slow caller receives its answer slowly. Without flow control, the whole answer would be buffered in the gateway's memory; with flow
+    // control of the connection instead of the stream, every other caller would wait for the slow one.
     constexpr std::size_t Window = 64U << 10U;
     constexpr std::size_t Messages = 2000;
     Peers peers(PeerOptions {.streamWindow = Window});
@@ -225,7 +225,7 @@
     REQUIRE(slow.bodies.size() == Messages);
 }
 
-TEST_CASE("a reader may pause from within a message")
+TEST_CASE("a receiver may pause within onMessage")
 {
     Peers peers;
     StreamRecorder watched;
@@ -250,7 +250,7 @@
     REQUIRE(watched.end == StreamEnd::Complete);
 }
 
-TEST_CASE("a stream that is reset ends as broken at both sides")
+TEST_CASE("a stream that is reset ends as Broken at both sides")
 {
     Peers peers;
     StreamRecorder served;
@@ -267,7 +267,7 @@
     REQUIRE(peers.client->isConnected());
 }
 
-TEST_CASE("a refused stream is known not to have been handled")
+TEST_CASE("a refused stream ends as Refused at the client")
 {
     Peers peers;
     peers.onStream = [](const PeerStreamPtr &stream) {
@@ -282,7 +282,7 @@
 
 TEST_CASE("a stream is not refused once its answer has begun")
 {
-    // The far side would take "refused" for "not run" and send the request again: it would run twice.
+    // The client would take "refused" for "not executed" and send the request again, so that it would be executed twice.
     Peers peers;
     peers.onStream = [](const PeerStreamPtr &stream) {
         stream->send(dataMessage("begun"));
@@ -296,7 +296,7 @@
     REQUIRE(watched.end == StreamEnd::Broken);
 }
 
-TEST_CASE("a stream that was opened but never sent ends as refused")
+TEST_CASE("a stream that was opened but never sent ends as Refused")
 {
     Peers peers;
     StreamRecorder watched;
@@ -308,10 +308,10 @@
     REQUIRE(watched.end == StreamEnd::Refused);
 }
 
-TEST_CASE("a server's death breaks each stream once, then the connection; the client comes back by itself")
+TEST_CASE("the death of a server ends each stream once, then the connection; the client reconnects")
 {
-    // The agent's process dies with requests in flight. Each of them must hear of it, once, before anyone decides what to do
-    // about the connection; otherwise a caller waits for ever.
+    // An agent dies with requests in flight. Each of them must be notified, exactly once and before the loss of the connection is
+    // reported; otherwise a caller waits for ever.
     auto server = std::make_unique<ServerThread>(0);
     const int port = server->port();
     EventLoop loop;
@@ -350,7 +350,7 @@
     REQUIRE(all[0].ends == 1);
 }
 
-TEST_CASE("a client that goes ends its streams at the server")
+TEST_CASE("the destruction of a client ends its streams at the server")
 {
     Peers peers;
     StreamRecorder served;
@@ -376,7 +376,7 @@
     REQUIRE(watched.end == StreamEnd::Broken);
 }
 
-TEST_CASE("a stream that finishes in the middle of a message is not complete")
+TEST_CASE("a stream that finishes in the middle of a message does not end as Complete")
 {
     MessageReader reader(1000);
     std::string bytes;
@@ -391,9 +391,9 @@
     REQUIRE(reader.take().state == FramingState::Incomplete);
 }
 
-TEST_CASE("garbage on the port closes its connection and harms nothing else")
+TEST_CASE("invalid bytes close their connection and affect no other")
 {
-    // A scanner, or a caller with the wrong port, talks to the agents' port.
+    // A port scanner, or a caller with a wrong port number, connects to the port of an agent.
     Peers peers;
     HttpClient stranger(peers.loop);
     bool done = false;
@@ -413,9 +413,9 @@
     REQUIRE(watched.end == StreamEnd::Complete);
 }
 
-TEST_CASE("a server that never speaks is given up and tried again")
+TEST_CASE("a connection to a server that never answers is dropped and retried")
 {
-    // A frozen process still accepts connections: the kernel does that for it. An entry must not take it for a live agent.
+    // The kernel accepts connections for a frozen process too. A gateway must not take it for a live agent.
     Peers peers(PeerOptions {.connectTimeout = Duration::millis(100)});
     int calls = 0;
     HttpServer silent(peers.loop, HttpServerOptions {}, [&](const auto &) { ++calls; });
@@ -429,7 +429,7 @@
     REQUIRE_FALSE(lonely.isConnected());
 }
 
-TEST_CASE("rows are passed on a tenth as long, and what can't be read is refused")
+TEST_CASE("rows are compressed, and invalid packed rows are refused")
 {
     Wire::StoreRows rows;
     rows.set_table(1);
