--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -135,7 +135,7 @@
 }
 
 /// Nobody waits for the answer: an engine that misses it finishes work that is thrown away.
-auto tellCancelled(HttpClient &client, const EngineOptions &options, const RequestId &id) -> void
+auto notifyCancelled(HttpClient &client, const EngineOptions &options, const RequestId &id) -> void
 {
     const nlohmann::json body {{"id", id.text()}};
     startShortCall(client, postCall(options.server, "/cancel", dumpJson(body), options.timeout), [](const HttpAnswer &) {});
@@ -151,7 +151,7 @@
         , m_id(std::move(id))
     {
     }
-    auto hold(std::shared_ptr<HttpCallHandle> call) -> void
+    auto setCall(std::shared_ptr<HttpCallHandle> call) -> void
     {
         m_call = std::move(call);
     }
@@ -166,7 +166,7 @@
         }
         m_ended = true;
         m_call->cancel();
-        tellCancelled(m_client, m_options, m_id);
+        notifyCancelled(m_client, m_options, m_id);
     }
     auto pause() -> void override
     {
@@ -186,35 +186,35 @@
 };
 
 /// What is known of an answer while it arrives.
-struct AnswerWatch {
+struct AnswerState {
     bool isEventStream = false;
     EventStreamReader reader {nullptr};
 };
 
 /// The caller's hooks behind a look at the answer. An engine that dies may still close its stream in order: only [DONE] tells that the
 /// answer is whole, and part of an answer must not be passed off as all of it.
-auto watchAnswer(HttpCall &call, EngineHooks hooks, const std::shared_ptr<Completion> &completion) -> void
+auto wrapHooks(HttpCall &call, EngineHooks hooks, const std::shared_ptr<Completion> &completion) -> void
 {
-    auto watch = std::make_shared<AnswerWatch>();
-    call.onHead = [watch, onHead = std::move(hooks.onHead)](int status, const HttpHeaders &headers) {
-        watch->isEventStream = headerValue(headers, "content-type").rfind("text/event-stream", 0) == 0;
+    auto state = std::make_shared<AnswerState>();
+    call.onHead = [state, onHead = std::move(hooks.onHead)](int status, const HttpHeaders &headers) {
+        state->isEventStream = headerValue(headers, "content-type").rfind("text/event-stream", 0) == 0;
         if (onHead) {
             onHead(status, headers);
         }
     };
-    call.onData = [watch, onData = std::move(hooks.onData)](std::string_view data) {
-        if (watch->isEventStream) {
-            watch->reader.feed(data);
+    call.onData = [state, onData = std::move(hooks.onData)](std::string_view data) {
+        if (state->isEventStream) {
+            state->reader.feed(data);
         }
         if (onData) {
             onData(data);
         }
     };
-    call.onEnd = [watch, completion, onEnd = std::move(hooks.onEnd)](CallEnd end) {
+    call.onEnd = [state, completion, onEnd = std::move(hooks.onEnd)](CallEnd end) {
         completion->ended();
-        const bool isCut = end == CallEnd::Complete && watch->isEventStream && !watch->reader.isDone();
+        const bool isTruncated = end == CallEnd::Complete && state->isEventStream && !state->reader.isDone();
         if (onEnd) {
-            onEnd(isCut ? CallEnd::Broken : end);
+            onEnd(isTruncated ? CallEnd::Broken : end);
         }
     };
 }
@@ -309,14 +309,14 @@
         call.headers.push_back({"x-resume-offset", std::to_string(request.resumeOffset)});
     }
     auto completion = std::make_shared<Completion>(m_client, m_options, request.id);
-    watchAnswer(call, std::move(hooks), completion);
-    completion->hold(m_client.start(std::move(call)));
+    wrapHooks(call, std::move(hooks), completion);
+    completion->setCall(m_client.start(std::move(call)));
     return completion;
 }
 
 auto HttpEngineClient::cancel(const RequestId &id) -> void
 {
-    tellCancelled(m_client, m_options, id);
+    notifyCancelled(m_client, m_options, id);
 }
 
 auto HttpEngineClient::exportKv(const std::string &prefix, std::function<void(const Result<std::string> &)> done) -> void
--- a/src/engine/serviceclient.cpp
+++ b/src/engine/serviceclient.cpp
@@ -9,7 +9,7 @@
 {
 
 /// Headers of an answer that are passed on, beside the content type.
-constexpr std::array<const char *, 8> PassedHeaders
+constexpr std::array<const char *, 8> ForwardedHeaders
     = {"cache-control", "content-encoding", "content-language", "content-disposition", "etag", "last-modified", "location", "retry-after"};
 
 class HttpServiceClient : public ServiceClient
@@ -32,7 +32,7 @@
         call.headers.push_back({"x-attempt-id", request.attempt.text()});
         call.body = request.body;
         call.timeout = request.timeout;
-        call.keptHeaders.assign(PassedHeaders.begin(), PassedHeaders.end());
+        call.keptHeaders.assign(ForwardedHeaders.begin(), ForwardedHeaders.end());
         call.onHead = std::move(hooks.onHead);
         call.onData = std::move(hooks.onData);
         call.onEnd = std::move(hooks.onEnd);
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -296,7 +296,7 @@
         config->apply(change, std::move(answer));
     };
     hooks.declarations = [this] {
-        return DeclarationsAt {config->revision(), config->declarations()};
+        return AdoptedDeclarations {config->revision(), config->declarations()};
     };
     hooks.status = [this] {
         return status();
--- a/src/kingcupctl/changecommands.cpp
+++ b/src/kingcupctl/changecommands.cpp
@@ -20,7 +20,7 @@
 
 namespace Proto = kingcup::operators;
 
-constexpr auto PauseBetweenTries = std::chrono::milliseconds(300);
+constexpr auto RetryDelay = std::chrono::milliseconds(300);
 
 /// A UUID of version 7: the time first, so that ids sort by their making.
 auto newChangeId() -> std::string
@@ -74,7 +74,7 @@
 struct ChangeResult {
     grpc::Status status;
     Proto::ChangeReply reply;
-    bool mayHaveHappened = false; ///< some try of it has no known end
+    bool mayHaveTakenEffect = false; ///< some try of it has no known end
 };
 
 /// Whether asking again could tell nothing new.
@@ -96,10 +96,10 @@
             return;
         }
         // "Certainly not done" is said of one try. An earlier one, whose answer was lost, may still have been done.
-        const bool isUndone = result.status.ok() && result.reply.outcome() == Proto::CHANGE_OUTCOME_UNAVAILABLE;
-        result.mayHaveHappened = result.mayHaveHappened || !isUndone;
+        const bool hadNoEffect = result.status.ok() && result.reply.outcome() == Proto::CHANGE_OUTCOME_UNAVAILABLE;
+        result.mayHaveTakenEffect = result.mayHaveTakenEffect || !hadNoEffect;
         std::cerr << "kingcupctl: not done yet; asking again about change " << request.change_id() << "\n";
-        std::this_thread::sleep_for(PauseBetweenTries);
+        std::this_thread::sleep_for(RetryDelay);
     }
 }
 
@@ -136,7 +136,7 @@
         std::cerr << "kingcupctl: conflict: revision " << reply.revision() << " came first; nothing was changed\n";
         return ExitCode::Conflict;
     case Proto::CHANGE_OUTCOME_UNAVAILABLE:
-        if (!result.mayHaveHappened) {
+        if (!result.mayHaveTakenEffect) {
             std::cerr << "kingcupctl: unreachable: the store could not be asked; nothing was changed\n";
             return ExitCode::Unreachable;
         }
@@ -147,7 +147,7 @@
 }
 
 /// Shows progress until the revision is in force in every live process.
-auto waitInForce(Connection &connection, std::uint64_t revision, Duration limit) -> ExitCode
+auto waitUntilInForce(Connection &connection, std::uint64_t revision, Duration limit) -> ExitCode
 {
     std::uint64_t inForce = 0;
     const auto status = connection.watch(revision, limit, [&](const Proto::StatusReply &reply) {
@@ -201,7 +201,7 @@
     request.set_author(arguments.author);
     *request.mutable_set() = toProto(*set);
     // An id that was given may stand for a change that was sent before, by an earlier run of this tool.
-    ChangeResult result {.status = {}, .reply = {}, .mayHaveHappened = !arguments.changeId.empty()};
+    ChangeResult result {.status = {}, .reply = {}, .mayHaveTakenEffect = !arguments.changeId.empty()};
     const bool isNew = arguments.changeId.empty() && !arguments.hasExpected;
     if (isNew && current.revision() != 0 && isSameSet(fromProto(current.set()).value, *set)) {
         result.reply = unchangedReply(current.revision());
@@ -213,7 +213,7 @@
     }
     const auto code = reportOutcome(result, request.change_id());
     if (code == ExitCode::Ok && arguments.wait) {
-        return waitInForce(connection, result.reply.revision(), arguments.timeout);
+        return waitUntilInForce(connection, result.reply.revision(), arguments.timeout);
     }
     return code;
 }
--- a/src/kingcupctl/connection.cpp
+++ b/src/kingcupctl/connection.cpp
@@ -12,8 +12,8 @@
 {
 
 // A host that is gone answers nothing at all: the next entry is tried after this long.
-constexpr auto LongestTry = std::chrono::seconds(10);
-constexpr int LargestReply = 64 << 20; ///< bytes
+constexpr auto AttemptTimeout = std::chrono::seconds(10);
+constexpr int MaxReplyBytes = 64 << 20; ///< bytes
 
 auto credentials(const TlsFiles &files) -> std::shared_ptr<grpc::ChannelCredentials>
 {
@@ -38,7 +38,7 @@
     : d(std::make_unique<Private>())
 {
     grpc::ChannelArguments options;
-    options.SetMaxReceiveMessageSize(LargestReply);
+    options.SetMaxReceiveMessageSize(MaxReplyBytes);
     options.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     d->stubs.reserve(arguments.servers.size());
     for (const auto &server : arguments.servers) {
@@ -49,15 +49,15 @@
 
 Connection::~Connection() = default;
 
-auto Connection::tryEach(const Try &attempt) -> grpc::Status
+auto Connection::tryServers(const Attempt &attempt) -> grpc::Status
 {
     grpc::Status status(grpc::StatusCode::UNAVAILABLE, "no server was named; use --server IP:PORT");
     for (std::size_t tries = 0; tries < d->stubs.size(); ++tries) {
         grpc::ClientContext context;
-        context.set_deadline(std::chrono::system_clock::now() + LongestTry);
+        context.set_deadline(std::chrono::system_clock::now() + AttemptTimeout);
         status = attempt(*d->stubs[d->current], context);
-        const bool isGone = status.error_code() == grpc::StatusCode::UNAVAILABLE || status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED;
-        if (!isGone) {
+        const bool isUnreachable = status.error_code() == grpc::StatusCode::UNAVAILABLE || status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED;
+        if (!isUnreachable) {
             break;
         }
         d->current = (d->current + 1) % d->stubs.size();
@@ -67,7 +67,7 @@
 
 auto Connection::watch(std::uint64_t until, Duration limit, const std::function<bool(const kingcup::operators::StatusReply &)> &onStatus) -> grpc::Status
 {
-    return tryEach([&](OperatorStub &stub, grpc::ClientContext &context) {
+    return tryServers([&](OperatorStub &stub, grpc::ClientContext &context) {
         if (limit > Duration()) {
             context.set_deadline(std::chrono::system_clock::now() + std::chrono::microseconds(limit.inMicros()));
         } else {
--- a/src/kingcupctl/connection.h
+++ b/src/kingcupctl/connection.h
@@ -23,7 +23,7 @@
     template<typename Request, typename Reply>
     auto call(grpc::Status (OperatorStub::*method)(grpc::ClientContext *, const Request &, Reply *), const Request &request, Reply &reply) -> grpc::Status
     {
-        return tryEach([&](OperatorStub &stub, grpc::ClientContext &context) {
+        return tryServers([&](OperatorStub &stub, grpc::ClientContext &context) {
             reply.Clear();
             return (stub.*method)(&context, request, &reply);
         });
@@ -33,8 +33,8 @@
     auto watch(std::uint64_t until, Duration limit, const std::function<bool(const kingcup::operators::StatusReply &)> &onStatus) -> grpc::Status;
 
 private:
-    using Try = std::function<grpc::Status(OperatorStub &, grpc::ClientContext &)>;
-    auto tryEach(const Try &attempt) -> grpc::Status;
+    using Attempt = std::function<grpc::Status(OperatorStub &, grpc::ClientContext &)>;
+    auto tryServers(const Attempt &attempt) -> grpc::Status;
 
     struct Private;
     std::unique_ptr<Private> d;
--- a/src/kingcupctl/logcommands.cpp
+++ b/src/kingcupctl/logcommands.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// Calls `take` with each line of the files. The name of the first file that can't be read; empty: none.
-auto eachLine(const std::vector<std::string> &files, const std::function<void(std::string_view line)> &take) -> std::string
+/// Calls `onLine` with each line of the files. The name of the first file that can't be read; empty: none.
+auto forEachLine(const std::vector<std::string> &files, const std::function<void(std::string_view line)> &onLine) -> std::string
 {
     for (const auto &name : files) {
         std::ifstream file(name);
@@ -21,7 +21,7 @@
             return name;
         }
         for (std::string line; std::getline(file, line);) {
-            take(line);
+            onLine(line);
         }
     }
     return {};
@@ -33,9 +33,9 @@
 {
     const auto &id = arguments.operands.front();
     LogSelection selection(id);
-    auto unreadable = eachLine(arguments.logs, [&](std::string_view line) { selection.find(line); });
+    auto unreadable = forEachLine(arguments.logs, [&](std::string_view line) { selection.find(line); });
     if (unreadable.empty() && selection.isFound()) {
-        unreadable = eachLine(arguments.logs, [&](std::string_view line) { selection.collect(line); });
+        unreadable = forEachLine(arguments.logs, [&](std::string_view line) { selection.collect(line); });
     }
     if (!unreadable.empty()) {
         std::cerr << "kingcupctl: --log: cannot read " << unreadable << "\n";
--- a/src/kingcupctl/main.cpp
+++ b/src/kingcupctl/main.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-auto complain(const std::string &message) -> ExitCode
+auto reportUsageError(const std::string &message) -> ExitCode
 {
     std::cerr << "kingcupctl: " << message << "; see kingcupctl help\n";
     return ExitCode::Usage;
@@ -20,26 +20,26 @@
 {
     const auto [arguments, error] = parseArguments(count, texts);
     if (!error.empty()) {
-        return complain(error);
+        return reportUsageError(error);
     }
     if (arguments.help) {
         return runHelp(arguments);
     }
     if (arguments.command.empty()) {
-        return complain("no command was given");
+        return reportUsageError("no command was given");
     }
     const auto &all = commands();
     const auto &name = arguments.command;
     const auto command = std::find_if(all.begin(), all.end(), [&](const Command &known) { return known.name == name; });
     if (command == all.end()) {
-        return complain("unknown command '" + name + "'");
+        return reportUsageError("unknown command '" + name + "'");
     }
     if (arguments.operands.size() != static_cast<std::size_t>(command->operandCount)) {
-        return complain(name + " takes " + (command->operands.empty() ? "no operand" : command->operands));
+        return reportUsageError(name + " takes " + (command->operands.empty() ? "no operand" : command->operands));
     }
     const bool readsLogs = name == "explain" && !arguments.logs.empty();
     if (command->needsServer && arguments.servers.empty() && !readsLogs) {
-        return complain("no server was named; use --server IP:PORT");
+        return reportUsageError("no server was named; use --server IP:PORT");
     }
     return command->run(arguments);
 }
--- a/src/operator/operatorapi.h
+++ b/src/operator/operatorapi.h
@@ -51,7 +51,7 @@
 };
 
 /// The newest set that an entry has adopted.
-struct DeclarationsAt {
+struct AdoptedDeclarations {
     Revision revision;
     Declarations set;
 };
@@ -107,7 +107,7 @@
 struct OperatorHooks {
     std::function<void(std::function<void()> task)> post;
     std::function<void(const DeclarationsChange &change, std::function<void(const ChangeAnswer &)> answer)> apply;
-    std::function<DeclarationsAt()> declarations;
+    std::function<AdoptedDeclarations()> declarations;
     std::function<SystemStatus()> status;
     std::function<void(const TargetId &target, bool undo, std::function<void(const DrainAnswer &)> answer)> drain;
     std::function<std::vector<RecentDecision>(const std::string &subject)> explain; ///< newest first
--- a/src/operator/operatorcalls.cpp
+++ b/src/operator/operatorcalls.cpp
@@ -113,31 +113,31 @@
 {
     m_self = shared_from_this();
     if (m_registry->add(shared_from_this())) {
-        ask();
+        requestStatus();
     } else {
         end(closingStatus());
     }
 }
 
-auto WatchCall::ask() -> void
+auto WatchCall::requestStatus() -> void
 {
     m_hooks.post([self = shared_from_this()] {
         if (!self->m_registry->isClosed()) {
-            self->take(self->m_hooks.status());
+            self->onStatus(self->m_hooks.status());
         }
     });
 }
 
-auto WatchCall::take(const SystemStatus &status) -> void
+auto WatchCall::onStatus(const SystemStatus &status) -> void
 {
     const auto reply = toProto(status);
     auto text = reply.SerializeAsString();
     const std::lock_guard lock(m_mutex);
-    if (m_ended || m_endWanted) {
+    if (m_ended || m_endAfterWrite) {
         return;
     }
     if (text == m_lastSent) {
-        askLater();
+        scheduleStatusRequest();
         return;
     }
     m_reply = reply;
@@ -146,12 +146,12 @@
     StartWrite(&m_reply);
 }
 
-auto WatchCall::askLater() -> void
+auto WatchCall::scheduleStatusRequest() -> void
 {
     const auto when = std::chrono::system_clock::now() + std::chrono::microseconds(m_period.inMicros());
     m_alarm.Set(when, [self = shared_from_this()](bool reached) {
         if (reached) {
-            self->ask();
+            self->requestStatus();
         }
     });
 }
@@ -161,14 +161,14 @@
     const auto self = shared_from_this(); // Finish() may let go of the last other reference, with our lock still held
     const std::lock_guard lock(m_mutex);
     m_writing = false;
-    if (m_endWanted) {
+    if (m_endAfterWrite) {
         endLocked(m_endStatus);
     } else if (!ok) {
         endLocked(cancelledStatus());
     } else if (m_until.value() != 0 && m_reply.in_force() >= m_until.value()) {
         endLocked(grpc::Status::OK);
     } else {
-        askLater();
+        scheduleStatusRequest();
     }
 }
 
@@ -177,7 +177,7 @@
     const auto self = shared_from_this();
     const std::lock_guard lock(m_mutex);
     if (m_writing) {
-        m_endWanted = true;
+        m_endAfterWrite = true;
         m_endStatus = status;
     } else {
         endLocked(status);
--- a/src/operator/operatorcalls.h
+++ b/src/operator/operatorcalls.h
@@ -84,9 +84,9 @@
     auto OnCancel() -> void override; // NOLINT(readability-identifier-naming)
 
 private:
-    auto ask() -> void;
-    auto take(const SystemStatus &status) -> void;
-    auto askLater() -> void;
+    auto requestStatus() -> void;
+    auto onStatus(const SystemStatus &status) -> void;
+    auto scheduleStatusRequest() -> void;
     auto endLocked(const grpc::Status &status) -> void;
 
     std::shared_ptr<CallRegistry> m_registry;
@@ -101,7 +101,7 @@
     std::string m_lastSent;
     bool m_writing = false;
     bool m_ended = false;
-    bool m_endWanted = false; ///< while a write is under way: end after it
+    bool m_endAfterWrite = false; ///< while a write is under way: end after it
     grpc::Status m_endStatus;
 };
 
--- a/src/operator/operatorserver.cpp
+++ b/src/operator/operatorserver.cpp
@@ -17,13 +17,13 @@
 namespace
 {
 
-constexpr int LargestRequest = 16 << 20; ///< bytes; a set of 1,600 models with their adapters has under 1 MB
-constexpr int LongestListedFields = 5;
+constexpr int MaxRequestBytes = 16 << 20; ///< bytes; a set of 1,600 models with their adapters has under 1 MB
+constexpr int MaxListedFields = 5;
 
 auto listText(const std::vector<std::string> &names) -> std::string
 {
     std::string text;
-    for (std::size_t index = 0; index < names.size() && index < LongestListedFields; ++index) {
+    for (std::size_t index = 0; index < names.size() && index < MaxListedFields; ++index) {
         text += (index > 0 ? ", " : "") + names[index];
     }
     return text;
@@ -47,12 +47,12 @@
     auto Apply(grpc::CallbackServerContext * /*context*/, const OperatorProto::ApplyRequest *request, OperatorProto::ChangeReply *reply)
         -> grpc::ServerUnaryReactor * override
     {
-        return onLoop(*request, [this, reply](const auto &question, const std::shared_ptr<UnaryCall> &call) {
-            auto set = fromProto(question.set());
-            DeclarationsChange change {.id = ChangeId(question.change_id()),
-                                       .expected = Revision(question.expected_revision()),
+        return runOnLoop(*request, [this, reply](const auto &requestCopy, const std::shared_ptr<UnaryCall> &call) {
+            auto set = fromProto(requestCopy.set());
+            DeclarationsChange change {.id = ChangeId(requestCopy.change_id()),
+                                       .expected = Revision(requestCopy.expected_revision()),
                                        .set = std::move(set.value),
-                                       .author = question.author()};
+                                       .author = requestCopy.author()};
             apply(change, std::move(set.findings), reply, call);
         });
     }
@@ -60,12 +60,12 @@
     auto Change(grpc::CallbackServerContext * /*context*/, const OperatorProto::ChangeRequest *request, OperatorProto::ChangeReply *reply)
         -> grpc::ServerUnaryReactor * override
     {
-        return onLoop(*request, [this, reply](const auto &question, const std::shared_ptr<UnaryCall> &call) {
+        return runOnLoop(*request, [this, reply](const auto &requestCopy, const std::shared_ptr<UnaryCall> &call) {
             auto current = m_hooks.declarations();
-            DeclarationsChange change {.id = ChangeId(question.change_id()),
-                                       .expected = Revision(question.expected_revision()),
+            DeclarationsChange change {.id = ChangeId(requestCopy.change_id()),
+                                       .expected = Revision(requestCopy.expected_revision()),
                                        .set = std::move(current.set),
-                                       .author = question.author()};
+                                       .author = requestCopy.author()};
             // Merged into another set than the author saw, the change could mean something else; the store would refuse it anyway.
             if (current.revision != change.expected) {
                 const ChangeAnswer answer {
@@ -73,7 +73,7 @@
                 finish(change.id, answer, reply, call);
                 return;
             }
-            auto findings = mergeChange(question, change.set);
+            auto findings = mergeChange(requestCopy, change.set);
             apply(change, std::move(findings), reply, call);
         });
     }
@@ -81,7 +81,7 @@
     auto Get(grpc::CallbackServerContext * /*context*/, const OperatorProto::GetRequest *request, OperatorProto::GetReply *reply)
         -> grpc::ServerUnaryReactor * override
     {
-        return onLoop(*request, [this, reply](const auto & /*question*/, const std::shared_ptr<UnaryCall> &call) {
+        return runOnLoop(*request, [this, reply](const auto & /*question*/, const std::shared_ptr<UnaryCall> &call) {
             const auto current = m_hooks.declarations();
             call->answer([&] {
                 reply->set_revision(current.revision.value());
@@ -93,7 +93,7 @@
     auto Status(grpc::CallbackServerContext * /*context*/, const OperatorProto::StatusRequest *request, OperatorProto::StatusReply *reply)
         -> grpc::ServerUnaryReactor * override
     {
-        return onLoop(*request, [this, reply](const auto & /*question*/, const std::shared_ptr<UnaryCall> &call) {
+        return runOnLoop(*request, [this, reply](const auto & /*question*/, const std::shared_ptr<UnaryCall> &call) {
             const auto status = m_hooks.status();
             call->answer([&] { *reply = toProto(status); });
         });
@@ -102,9 +102,9 @@
     auto Drain(grpc::CallbackServerContext * /*context*/, const OperatorProto::DrainRequest *request, OperatorProto::DrainReply *reply)
         -> grpc::ServerUnaryReactor * override
     {
-        return onLoop(*request, [this, reply](const auto &question, const std::shared_ptr<UnaryCall> &call) {
-            LOG(INFO) << "operator: drain target=" << question.target() << " undo=" << question.undo();
-            m_hooks.drain(TargetId(question.target()), question.undo(), [call, reply](const DrainAnswer &answer) {
+        return runOnLoop(*request, [this, reply](const auto &requestCopy, const std::shared_ptr<UnaryCall> &call) {
+            LOG(INFO) << "operator: drain target=" << requestCopy.target() << " undo=" << requestCopy.undo();
+            m_hooks.drain(TargetId(requestCopy.target()), requestCopy.undo(), [call, reply](const DrainAnswer &answer) {
                 call->answer([&] {
                     reply->set_accepted(answer.isAccepted);
                     reply->set_message(answer.message);
@@ -116,8 +116,8 @@
     auto Explain(grpc::CallbackServerContext * /*context*/, const OperatorProto::ExplainRequest *request, OperatorProto::ExplainReply *reply)
         -> grpc::ServerUnaryReactor * override
     {
-        return onLoop(*request, [this, reply](const auto &question, const std::shared_ptr<UnaryCall> &call) {
-            const auto decisions = m_hooks.explain(question.subject());
+        return runOnLoop(*request, [this, reply](const auto &requestCopy, const std::shared_ptr<UnaryCall> &call) {
+            const auto decisions = m_hooks.explain(requestCopy.subject());
             call->answer([&] { *reply = toProto(decisions); });
         });
     }
@@ -134,7 +134,7 @@
     /// Refuses a request with parts that this entry doesn't know; otherwise runs `task` on the entry's loop, with a copy of the
     /// request: the operator may cancel at any moment, and gRPC frees its own then.
     template<typename Request, typename Task>
-    auto onLoop(const Request &request, Task task) -> grpc::ServerUnaryReactor *
+    auto runOnLoop(const Request &request, Task task) -> grpc::ServerUnaryReactor *
     {
         auto call = UnaryCall::open(m_registry);
         const auto unknown = unknownFields(request);
@@ -143,9 +143,9 @@
             call->end({grpc::StatusCode::INVALID_ARGUMENT, "this entry doesn't know: " + listText(unknown) + "; nothing was changed"});
             return call.get();
         }
-        m_hooks.post([call, task = std::move(task), question = request] {
+        m_hooks.post([call, task = std::move(task), requestCopy = request] {
             if (!call->isEnded()) {
-                task(question, call);
+                task(requestCopy, call);
             }
         });
         return call.get();
@@ -202,7 +202,7 @@
         const auto credentials = options.tls.isEnabled() ? tlsCredentials(options.tls) : grpc::InsecureServerCredentials();
         builder.AddListeningPort(toString(options.listen), credentials, &m_port);
         builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0); // a second entry on the port must fail, not share it
-        builder.SetMaxReceiveMessageSize(LargestRequest);
+        builder.SetMaxReceiveMessageSize(MaxRequestBytes);
         builder.RegisterService(&m_service);
         m_server = builder.BuildAndStart();
     }
--- a/src/platform/hostlistclient.cpp
+++ b/src/platform/hostlistclient.cpp
@@ -73,7 +73,7 @@
     }
     auto poll() -> void;
     auto onAnswer(const PlatformAnswer &answer) -> void;
-    auto adopt(std::vector<ListedHost> list) -> void;
+    auto applyList(std::vector<ListedHost> list) -> void;
     auto schedule() -> void;
 };
 
@@ -86,15 +86,15 @@
 
 auto HostListClient::Private::schedule() -> void
 {
-    constexpr double MostStretch = 1.5;
-    std::uniform_real_distribution<double> jitter(1.0, MostStretch);
+    constexpr double MaxJitter = 1.5;
+    std::uniform_real_distribution<double> jitter(1.0, MaxJitter);
     timer = loop.after(options.period * jitter(random), [this] { poll(); });
 }
 
 auto HostListClient::Private::onAnswer(const PlatformAnswer &answer) -> void
 {
     schedule();
-    if (answer.end != PlatformEnd::Answered || answer.status != HttpStatus::Ok) {
+    if (answer.outcome != PlatformOutcome::Answered || answer.status != HttpStatus::Ok) {
         return;
     }
     auto list = hostsOf(answer.body);
@@ -102,10 +102,10 @@
         LOG(WARNING) << "platform: host list can't be read bytes=" << answer.body.size();
         return;
     }
-    adopt(std::move(*list));
+    applyList(std::move(*list));
 }
 
-auto HostListClient::Private::adopt(std::vector<ListedHost> list) -> void
+auto HostListClient::Private::applyList(std::vector<ListedHost> list) -> void
 {
     if (!hasList || !std::equal(hosts.begin(), hosts.end(), list.begin(), list.end(), &isSame)) {
         LOG(INFO) << "platform: host list changed hosts=" << list.size() << " before=" << hosts.size();
--- a/src/platform/objectclient.cpp
+++ b/src/platform/objectclient.cpp
@@ -10,7 +10,7 @@
 
 auto isStatus(const PlatformAnswer &answer, int status) -> bool
 {
-    return answer.end == PlatformEnd::Answered && answer.status == status;
+    return answer.outcome == PlatformOutcome::Answered && answer.status == status;
 }
 
 auto objectError(const PlatformAnswer &answer) -> Error
@@ -72,7 +72,7 @@
 
 auto HttpObjectClient::get(const std::string &key, Duration deadline, GetDone done) -> void
 {
-    m_caller.callRepeatedly(makeCall("GET", key), deadline, [done = std::move(done)](const PlatformAnswer &answer) {
+    m_caller.callWithRetries(makeCall("GET", key), deadline, [done = std::move(done)](const PlatformAnswer &answer) {
         if (isStatus(answer, HttpStatus::Ok)) {
             done(StoredObject {answer.etag, answer.body});
         } else {
@@ -83,7 +83,7 @@
 
 auto HttpObjectClient::remove(const std::string &key, Duration deadline, RemoveDone done) -> void
 {
-    m_caller.callRepeatedly(makeCall("DELETE", key), deadline, [done = std::move(done)](const PlatformAnswer &answer) {
+    m_caller.callWithRetries(makeCall("DELETE", key), deadline, [done = std::move(done)](const PlatformAnswer &answer) {
         done(isStatus(answer, HttpStatus::NoContent) || isStatus(answer, HttpStatus::Ok) || isStatus(answer, HttpStatus::NotFound));
     });
 }
--- a/src/platform/platformcaller.cpp
+++ b/src/platform/platformcaller.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr auto ShortestTry = Duration::millis(1); // 0 would mean no limit
+constexpr auto MinTimeout = Duration::millis(1); // 0 would mean no limit
 
 auto answerOf(const HttpAnswer &got) -> PlatformAnswer
 {
@@ -22,9 +22,9 @@
     answer.etag = headerValue(got.headers, "etag");
     answer.throttled = got.status == HttpStatus::TooManyRequests;
     if (got.end == CallEnd::NotSent || got.status == HttpStatus::TooManyRequests || got.status == HttpStatus::Unavailable) {
-        answer.end = PlatformEnd::Refused;
+        answer.outcome = PlatformOutcome::Refused;
     } else if (got.end == CallEnd::Complete) {
-        answer.end = PlatformEnd::Answered;
+        answer.outcome = PlatformOutcome::Answered;
     }
     return answer;
 }
@@ -32,7 +32,7 @@
 auto refusal() -> PlatformAnswer
 {
     PlatformAnswer answer;
-    answer.end = PlatformEnd::Refused;
+    answer.outcome = PlatformOutcome::Refused;
     return answer;
 }
 
@@ -40,10 +40,10 @@
 
 auto errorOf(const PlatformAnswer &answer) -> Error
 {
-    if (answer.end == PlatformEnd::Lost) {
+    if (answer.outcome == PlatformOutcome::Lost) {
         return {ErrorCode::Unknown, "no answer"};
     }
-    if (answer.end == PlatformEnd::Refused) {
+    if (answer.outcome == PlatformOutcome::Refused) {
         return answer.throttled ? Error {ErrorCode::Overloaded, "throttled"} : Error {ErrorCode::Unavailable, "not reachable"};
     }
     return {ErrorCode::InvalidInput, "status " + std::to_string(answer.status)};
@@ -51,7 +51,7 @@
 
 struct PlatformCaller::Private : std::enable_shared_from_this<Private> {
     /// A call that is tried until it is answered.
-    struct Repetition {
+    struct RetriedCall {
         HttpCall call;
         TimePoint deadline;
         Backoff backoff;
@@ -77,9 +77,9 @@
     }
     auto start(HttpCall call, Done done) -> void;
     auto onAnswer(const HttpAnswer &got, const Done &done) -> void;
-    auto note(const PlatformAnswer &answer) -> void;
-    auto repeat(const std::shared_ptr<Repetition> &repetition) -> void;
-    auto onRepeated(const std::shared_ptr<Repetition> &repetition, const PlatformAnswer &answer) -> void;
+    auto recordResult(const PlatformAnswer &answer) -> void;
+    auto retry(const std::shared_ptr<RetriedCall> &retried) -> void;
+    auto onRetryAnswer(const std::shared_ptr<RetriedCall> &retried, const PlatformAnswer &answer) -> void;
 };
 
 auto PlatformCaller::Private::start(HttpCall call, Done done) -> void
@@ -108,14 +108,14 @@
 {
     --inFlight;
     const auto answer = answerOf(got);
-    note(answer);
+    recordResult(answer);
     done(answer);
 }
 
-auto PlatformCaller::Private::note(const PlatformAnswer &answer) -> void
+auto PlatformCaller::Private::recordResult(const PlatformAnswer &answer) -> void
 {
     const bool wasClosed = breaker.state() == BreakerState::Closed;
-    if (answer.end == PlatformEnd::Answered || answer.throttled) {
+    if (answer.outcome == PlatformOutcome::Answered || answer.throttled) {
         breaker.succeeded();
     } else {
         breaker.failed(loop.now());
@@ -126,23 +126,23 @@
     }
 }
 
-auto PlatformCaller::Private::repeat(const std::shared_ptr<Repetition> &repetition) -> void
+auto PlatformCaller::Private::retry(const std::shared_ptr<RetriedCall> &retried) -> void
 {
-    auto call = repetition->call;
-    call.timeout = std::max(repetition->deadline - loop.now(), ShortestTry);
-    start(std::move(call), [this, repetition](const PlatformAnswer &answer) { onRepeated(repetition, answer); });
+    auto call = retried->call;
+    call.timeout = std::max(retried->deadline - loop.now(), MinTimeout);
+    start(std::move(call), [this, retried](const PlatformAnswer &answer) { onRetryAnswer(retried, answer); });
 }
 
-auto PlatformCaller::Private::onRepeated(const std::shared_ptr<Repetition> &repetition, const PlatformAnswer &answer) -> void
+auto PlatformCaller::Private::onRetryAnswer(const std::shared_ptr<RetriedCall> &retried, const PlatformAnswer &answer) -> void
 {
-    const Duration delay = repetition->backoff.next(random);
-    if (answer.end == PlatformEnd::Answered || loop.now() + delay >= repetition->deadline) {
-        repetition->done(answer);
+    const Duration delay = retried->backoff.next(random);
+    if (answer.outcome == PlatformOutcome::Answered || loop.now() + delay >= retried->deadline) {
+        retried->done(answer);
         return;
     }
-    repetition->timer = loop.after(delay, [weak = weak_from_this(), repetition] {
+    retried->timer = loop.after(delay, [weak = weak_from_this(), retried] {
         if (const auto self = weak.lock()) {
-            self->repeat(repetition);
+            self->retry(retried);
         }
     });
 }
@@ -169,14 +169,14 @@
     d->start(std::move(call), std::move(done));
 }
 
-auto PlatformCaller::callRepeatedly(HttpCall call, Duration deadline, Done done) -> void
+auto PlatformCaller::callWithRetries(HttpCall call, Duration deadline, Done done) -> void
 {
-    auto repetition = std::make_shared<Private::Repetition>();
-    repetition->call = std::move(call);
-    repetition->deadline = d->loop.now() + deadline;
-    repetition->backoff = Backoff(d->options.backoff);
-    repetition->done = std::move(done);
-    d->repeat(repetition);
+    auto retried = std::make_shared<Private::RetriedCall>();
+    retried->call = std::move(call);
+    retried->deadline = d->loop.now() + deadline;
+    retried->backoff = Backoff(d->options.backoff);
+    retried->done = std::move(done);
+    d->retry(retried);
 }
 
 } // namespace KingCup
--- a/src/platform/platformcaller.h
+++ b/src/platform/platformcaller.h
@@ -29,14 +29,14 @@
 
 // [SECTION] Answer
 
-enum class PlatformEnd {
+enum class PlatformOutcome {
     Answered, ///< by the service, whatever its verdict
     Refused, ///< certainly without effect: not sent, throttled or unavailable
     Lost, ///< sent, but no answer: the effect is unknown
 };
 
 struct PlatformAnswer {
-    PlatformEnd end = PlatformEnd::Lost;
+    PlatformOutcome outcome = PlatformOutcome::Lost;
     bool throttled = false; ///< Refused, but the service is well
     int status = 0;
     std::string etag;
@@ -66,7 +66,7 @@
     /// the options'.
     auto call(HttpCall call, Done done) -> void;
     /// Tries again until the service has answered or `deadline` has passed from now: for calls that may be repeated.
-    auto callRepeatedly(HttpCall call, Duration deadline, Done done) -> void;
+    auto callWithRetries(HttpCall call, Duration deadline, Done done) -> void;
 
     struct Private;
 
--- a/src/platform/tableclient.cpp
+++ b/src/platform/tableclient.cpp
@@ -45,11 +45,11 @@
 
 auto isGood(const PlatformAnswer &answer) -> bool
 {
-    return answer.end == PlatformEnd::Answered && answer.status == HttpStatus::Ok;
+    return answer.outcome == PlatformOutcome::Answered && answer.status == HttpStatus::Ok;
 }
 
 /// An answer that can't be understood says nothing certain about the effect: it counts as lost.
-auto verdictOf(const PlatformAnswer &answer, TransactResult &result) -> void
+auto readVerdict(const PlatformAnswer &answer, TransactResult &result) -> void
 {
     const auto json = parseJson(answer.body);
     if (answer.status == HttpStatus::Ok && boolOf(member(json, "committed"))) {
@@ -69,10 +69,10 @@
 {
     TransactResult result;
     result.throttled = answer.throttled;
-    if (answer.end == PlatformEnd::Refused) {
+    if (answer.outcome == PlatformOutcome::Refused) {
         result.outcome = TransactOutcome::Refused;
-    } else if (answer.end == PlatformEnd::Answered) {
-        verdictOf(answer, result);
+    } else if (answer.outcome == PlatformOutcome::Answered) {
+        readVerdict(answer, result);
     }
     return result;
 }
@@ -119,7 +119,7 @@
 auto HttpTableClient::read(const std::vector<std::string> &keys, Duration deadline, ReadDone done) -> void
 {
     const nlohmann::json body {{"keys", keys}};
-    m_caller.callRepeatedly(postCall("/table/read", body), deadline, [done = std::move(done)](const PlatformAnswer &answer) {
+    m_caller.callWithRetries(postCall("/table/read", body), deadline, [done = std::move(done)](const PlatformAnswer &answer) {
         if (isGood(answer)) {
             done(rowsOf(parseJson(answer.body)));
         } else {
@@ -132,7 +132,7 @@
 {
     HttpCall call;
     call.path = "/table/scan?prefix=" + encodeQueryValue(scan.prefix) + "&after=" + encodeQueryValue(scan.after) + "&limit=" + std::to_string(scan.limit);
-    m_caller.callRepeatedly(std::move(call), deadline, [done = std::move(done)](const PlatformAnswer &answer) {
+    m_caller.callWithRetries(std::move(call), deadline, [done = std::move(done)](const PlatformAnswer &answer) {
         if (isGood(answer)) {
             const auto json = parseJson(answer.body);
             done(TablePage {rowsOf(json), boolOf(member(json, "more"))});
--- a/src/settings/daemonsettings.cpp
+++ b/src/settings/daemonsettings.cpp
@@ -30,16 +30,16 @@
 
     using IntegerSetter = std::function<void(DaemonSettings &, std::int64_t)>;
     struct IntegerRange {
-        std::int64_t least;
-        std::int64_t most;
+        std::int64_t min;
+        std::int64_t max;
     };
-    auto
-    integer(const std::string &key, const std::string &unit, IntegerRange range, std::int64_t fallback, const std::string &meaning, const IntegerSetter &set)
+    auto integer(
+        const std::string &key, const std::string &unit, IntegerRange range, std::int64_t defaultValue, const std::string &meaning, const IntegerSetter &set)
         -> SpecBuilder &
     {
-        const auto rangeText = std::to_string(range.least) + " to " + std::to_string(range.most);
-        return add({m_section, key, "integer", unit, rangeText, std::to_string(fallback), meaning}, [=](DaemonSettings &settings, const std::string &text) {
-            const auto parsed = parseInteger(text, range.least, range.most);
+        const auto rangeText = std::to_string(range.min) + " to " + std::to_string(range.max);
+        return add({m_section, key, "integer", unit, rangeText, std::to_string(defaultValue), meaning}, [=](DaemonSettings &settings, const std::string &text) {
+            const auto parsed = parseInteger(text, range.min, range.max);
             set(settings, parsed.value);
             return parsed.error;
         });
@@ -47,15 +47,16 @@
 
     using RealSetter = std::function<void(DaemonSettings &, double)>;
     struct RealRange {
-        double least;
-        double most;
+        double min;
+        double max;
     };
-    auto real(const std::string &key, const std::string &unit, RealRange range, const std::string &fallback, const std::string &meaning, const RealSetter &set)
+    auto
+    real(const std::string &key, const std::string &unit, RealRange range, const std::string &defaultValue, const std::string &meaning, const RealSetter &set)
         -> SpecBuilder &
     {
-        const auto rangeText = numberText(range.least) + " to " + numberText(range.most);
-        return add({m_section, key, "number", unit, rangeText, fallback, meaning}, [=](DaemonSettings &settings, const std::string &text) {
-            const auto parsed = parseDecimal(text, range.least, range.most);
+        const auto rangeText = numberText(range.min) + " to " + numberText(range.max);
+        return add({m_section, key, "number", unit, rangeText, defaultValue, meaning}, [=](DaemonSettings &settings, const std::string &text) {
+            const auto parsed = parseDecimal(text, range.min, range.max);
             set(settings, parsed.value);
             return parsed.error;
         });
@@ -72,9 +73,9 @@
     }
 
     using BoolSetter = std::function<void(DaemonSettings &, bool)>;
-    auto boolean(const std::string &key, bool fallback, const std::string &meaning, const BoolSetter &set) -> SpecBuilder &
+    auto boolean(const std::string &key, bool defaultValue, const std::string &meaning, const BoolSetter &set) -> SpecBuilder &
     {
-        return add({m_section, key, "boolean", "", "true, false", fallback ? "true" : "false", meaning},
+        return add({m_section, key, "boolean", "", "true, false", defaultValue ? "true" : "false", meaning},
                    [=](DaemonSettings &settings, const std::string &text) {
                        const auto parsed = parseBool(text);
                        set(settings, parsed.value);
@@ -83,11 +84,12 @@
     }
 
     using WordSetter = std::function<void(DaemonSettings &, std::size_t)>;
-    /// The words stand in the order of the enumeration's values; `fallback` is empty if the key must be given.
-    auto choice(const std::string &key, const std::vector<std::string> &words, const std::string &fallback, const std::string &meaning, const WordSetter &set)
+    /// The words stand in the order of the enumeration's values; `defaultValue` is empty if the key must be given.
+    auto
+    choice(const std::string &key, const std::vector<std::string> &words, const std::string &defaultValue, const std::string &meaning, const WordSetter &set)
         -> SpecBuilder &
     {
-        return add({m_section, key, "choice", "", wordList(words), fallback, meaning}, [=](DaemonSettings &settings, const std::string &text) {
+        return add({m_section, key, "choice", "", wordList(words), defaultValue, meaning}, [=](DaemonSettings &settings, const std::string &text) {
             const auto parsed = parseWord(text, words);
             set(settings, parsed.value);
             return parsed.error;
@@ -199,47 +201,47 @@
 
 auto addLimits(SpecBuilder &table) -> void
 {
-    constexpr std::int64_t MostKilobytes = 1 << 20;
-    constexpr std::int64_t MostConnections = 1000000;
-    constexpr std::int64_t LeastMillis = 1;
+    constexpr std::int64_t MaxKilobytes = 1 << 20;
+    constexpr std::int64_t MaxConnections = 1000000;
+    constexpr std::int64_t MinMillis = 1;
     table.section("limits")
         .integer("max-body-kb",
                  "KiB",
-                 {1, MostKilobytes},
+                 {1, MaxKilobytes},
                  8192,
                  "a caller's request body; larger ones are refused",
                  [](Settings &s, std::int64_t n) { s.limits.maxBody = static_cast<std::size_t>(n * BytesPerKilobyte); })
         .integer("max-connections",
                  "",
-                 {1, MostConnections},
+                 {1, MaxConnections},
                  4096,
                  "callers' connections at once; further ones are rejected",
                  [](Settings &s, std::int64_t n) { s.limits.maxConnections = static_cast<int>(n); })
         .integer("max-queue",
                  "",
-                 {1, MostConnections},
+                 {1, MaxConnections},
                  4096,
                  "requests waiting in one entry; further ones are refused as not run",
                  [](Settings &s, std::int64_t n) { s.limits.maxQueue = static_cast<int>(n); })
         .integer("stream-buffer-kb",
                  "KiB",
-                 {1, MostKilobytes},
+                 {1, MaxKilobytes},
                  256,
                  "kept for one stream before its source is held back",
                  [](Settings &s, std::int64_t n) { s.limits.streamBuffer = static_cast<std::size_t>(n * BytesPerKilobyte); })
         .integer("request-budget-ms",
                  "ms",
-                 {LeastMillis, HourInMillis},
+                 {MinMillis, HourInMillis},
                  30000,
                  "time for a request where neither caller nor service names one",
                  [](Settings &s, std::int64_t n) { s.limits.requestBudget = Duration::millis(n); })
         .integer("header-timeout-ms",
                  "ms",
-                 {LeastMillis, HourInMillis},
+                 {MinMillis, HourInMillis},
                  10000,
                  "a caller that sends its request slower is cut off",
                  [](Settings &s, std::int64_t n) { s.limits.headerTimeout = Duration::millis(n); })
-        .integer("max-decisions", "", {0, MostConnections}, 2000, "recent decisions kept for kingcupctl explain", [](Settings &s, std::int64_t n) {
+        .integer("max-decisions", "", {0, MaxConnections}, 2000, "recent decisions kept for kingcupctl explain", [](Settings &s, std::int64_t n) {
             s.limits.maxDecisions = static_cast<int>(n);
         });
 }
@@ -261,52 +263,52 @@
 
 auto addLog(SpecBuilder &table) -> void
 {
-    constexpr std::int64_t MostVerbosity = 9;
+    constexpr std::int64_t MaxVerbosity = 9;
     table.section("log")
         .path("directory", "folder of the log files; absent: standard error", [](Settings &s, const std::string &text) { s.log.directory = text; })
-        .integer("verbosity", "", {0, MostVerbosity}, 0, "higher shows more of what the parts do", [](Settings &s, std::int64_t n) {
+        .integer("verbosity", "", {0, MaxVerbosity}, 0, "higher shows more of what the parts do", [](Settings &s, std::int64_t n) {
             s.log.verbosity = static_cast<int>(n);
         });
 }
 
 auto addTiming(SpecBuilder &table) -> void
 {
-    constexpr std::int64_t LeastPeriod = 10;
+    constexpr std::int64_t MinPeriod = 10;
     constexpr std::int64_t DayInSeconds = 86400;
     table.section("timing")
         .integer("heartbeat-ms",
                  "ms",
-                 {LeastPeriod, HourInMillis},
+                 {MinPeriod, HourInMillis},
                  500,
                  "between pings on a control stream",
                  [](Settings &s, std::int64_t n) { s.timing.heartbeat = Duration::millis(n); })
         .integer("suspect-ms",
                  "ms",
-                 {LeastPeriod, HourInMillis},
+                 {MinPeriod, HourInMillis},
                  2000,
                  "silence on a control stream after which the other side gets no new work",
                  [](Settings &s, std::int64_t n) { s.timing.suspectAfter = Duration::millis(n); })
         .integer("report-ms",
                  "ms",
-                 {LeastPeriod, HourInMillis},
+                 {MinPeriod, HourInMillis},
                  500,
                  "agents: between load reports",
                  [](Settings &s, std::int64_t n) { s.timing.report = Duration::millis(n); })
         .integer("hosts-poll-ms",
                  "ms",
-                 {LeastPeriod, HourInMillis},
+                 {MinPeriod, HourInMillis},
                  1000,
                  "between reads of the host list",
                  [](Settings &s, std::int64_t n) { s.timing.hostsPoll = Duration::millis(n); })
         .integer("config-poll-ms",
                  "ms",
-                 {LeastPeriod, HourInMillis},
+                 {MinPeriod, HourInMillis},
                  1000,
                  "entries: between reads of the change log's tail",
                  [](Settings &s, std::int64_t n) { s.timing.configPoll = Duration::millis(n); })
         .integer("plan-period-ms",
                  "ms",
-                 {LeastPeriod, HourInMillis},
+                 {MinPeriod, HourInMillis},
                  1000,
                  "entries: between placement decisions",
                  [](Settings &s, std::int64_t n) { s.timing.planPeriod = Duration::millis(n); })
@@ -320,9 +322,9 @@
 
 auto addGateway(SpecBuilder &table) -> void
 {
-    constexpr double MostProcessorShare = 1024;
-    constexpr double MostAllowance = 100000;
-    constexpr std::int64_t LeastLeaseMillis = 100;
+    constexpr double MaxProcessorShare = 1024;
+    constexpr double MaxAllowance = 100000;
+    constexpr std::int64_t MinLeaseMillis = 100;
     constexpr std::int64_t MinuteInMillis = 60000;
     constexpr std::int64_t HourInSeconds = 3600;
     table.section("gateway")
@@ -340,13 +342,13 @@
                  [](Settings &s, std::int64_t n) { s.gateway.retryWindow = Duration::seconds(static_cast<double>(n)); })
         .real("retry-allowance",
               "",
-              {0, MostAllowance},
+              {0, MaxAllowance},
               "50",
               "such sends in a window beyond the share, of all gateways together",
               [](Settings &s, double n) { s.gateway.retryAllowance = n; })
         .integer("lease-ms",
                  "ms",
-                 {LeastLeaseMillis, MinuteInMillis},
+                 {MinLeaseMillis, MinuteInMillis},
                  3000,
                  "how long one gateway may give orders to runners without renewing its lease",
                  [](Settings &s, std::int64_t n) { s.gateway.lease = Duration::millis(n); })
@@ -370,7 +372,7 @@
               [](Settings &s, double n) { s.gateway.loadOvershoot = n; })
         .real("processor-share",
               "",
-              {0, MostProcessorShare},
+              {0, MaxProcessorShare},
               "1",
               "cores of the host that are this process's own",
               [](Settings &s, double n) { s.gateway.processorShare = n; })
@@ -417,8 +419,8 @@
 auto storeDefaults(DaemonSettings &settings) -> void
 {
     for (const auto &spec : specs()) {
-        if (!spec.description.fallback.empty()) {
-            spec.store(settings, spec.description.fallback);
+        if (!spec.description.defaultValue.empty()) {
+            spec.store(settings, spec.description.defaultValue);
         }
     }
 }
--- a/src/settings/daemonsettings.h
+++ b/src/settings/daemonsettings.h
@@ -142,7 +142,7 @@
     std::string type; ///< "integer", "endpoint", "name", ...
     std::string unit; ///< empty if it has none
     std::string range; ///< as text, e.g. "1 to 65536" or "entry, agent"
-    std::string fallback; ///< the default; empty if there is none
+    std::string defaultValue; ///< the default; empty if there is none
     std::string meaning; ///< one sentence
 };
 
--- a/src/settings/declarationfile.cpp
+++ b/src/settings/declarationfile.cpp
@@ -14,10 +14,10 @@
 namespace
 {
 
-constexpr std::int64_t MostMillis = 86400000;
-constexpr std::int64_t MostSeconds = 366 * 86400L;
-constexpr double MostShare = 1e6;
-constexpr double MostGigabytes = 4096;
+constexpr std::int64_t MaxMillis = 86400000;
+constexpr std::int64_t MaxSeconds = 366 * 86400L;
+constexpr double MaxShare = 1e6;
+constexpr double MaxGigabytes = 4096;
 
 /// Reads the keys of one section into a value; what is wrong goes to the findings with its line.
 class SectionReader
@@ -45,7 +45,7 @@
             }
             auto error = store(value.value);
             if (!error.empty()) {
-                complain(value.line, error.insert(0, key + ": "));
+                addFinding(value.line, error.insert(0, key + ": "));
             }
         }
         return *this;
@@ -60,10 +60,10 @@
         });
     }
 
-    auto integer(const std::string &key, std::int64_t least, std::int64_t most, const std::function<void(std::int64_t)> &set) -> SectionReader &
+    auto integer(const std::string &key, std::int64_t min, std::int64_t max, const std::function<void(std::int64_t)> &set) -> SectionReader &
     {
         return text(key, [&](const std::string &given) {
-            const auto parsed = parseInteger(given, least, most);
+            const auto parsed = parseInteger(given, min, max);
             if (parsed.error.empty()) {
                 set(parsed.value);
             }
@@ -71,10 +71,10 @@
         });
     }
 
-    auto decimal(const std::string &key, double least, double most, const std::function<void(double)> &set) -> SectionReader &
+    auto decimal(const std::string &key, double min, double max, const std::function<void(double)> &set) -> SectionReader &
     {
         return text(key, [&](const std::string &given) {
-            const auto parsed = parseDecimal(given, least, most);
+            const auto parsed = parseDecimal(given, min, max);
             if (parsed.error.empty()) {
                 set(parsed.value);
             }
@@ -106,17 +106,17 @@
     }
 
     /// Keys that none of the calls above asked for are findings.
-    auto refuseOthers() -> void
+    auto rejectUnknownKeys() -> void
     {
         for (const auto &value : m_section.values) {
             if (std::find(m_known.begin(), m_known.end(), value.key) == m_known.end()) {
-                complain(value.line, "unknown key '" + value.key + "' in [" + m_section.name + "]");
+                addFinding(value.line, "unknown key '" + value.key + "' in [" + m_section.name + "]");
             }
         }
     }
 
 private:
-    auto complain(int line, std::string message) -> void
+    auto addFinding(int line, std::string message) -> void
     {
         m_findings.push_back({{m_file.path, line}, std::move(message)});
     }
@@ -188,9 +188,9 @@
         const auto name = blank == std::string::npos ? std::string() : section.name.substr(blank + 1);
         const auto parsed = parseName(name);
         if (kind != "service" && kind != "model" && kind != "version" && kind != "adapter" && kind != "target") {
-            complain(reader.place(), "unknown section [" + section.name + "]");
+            addFinding(reader.place(), "unknown section [" + section.name + "]");
         } else if (!parsed.error.empty()) {
-            complain(reader.place(), "[" + section.name + "]: " + parsed.error);
+            addFinding(reader.place(), "[" + section.name + "]: " + parsed.error);
         } else if (kind == "service") {
             readService(reader, name);
         } else if (kind == "model") {
@@ -209,11 +209,11 @@
         Service service {.name = ServiceName(name), .location = reader.place()};
         reader.choice("kind", {"models", "plain"}, [&](std::size_t index) { service.kind = static_cast<ServiceKind>(index); })
             .choice("priority", {"interactive", "standard", "batch"}, [&](std::size_t index) { service.priority = static_cast<Priority>(index); })
-            .integer("time-budget-ms", 1, MostMillis, [&](std::int64_t n) { service.timeBudget = Duration::millis(n); })
-            .decimal("share", 0, MostShare, [&](double number) { service.share = number; })
-            .integer("claim-retention-s", 1, MostSeconds, [&](std::int64_t n) { service.claimRetention = Duration::seconds(static_cast<double>(n)); })
+            .integer("time-budget-ms", 1, MaxMillis, [&](std::int64_t n) { service.timeBudget = Duration::millis(n); })
+            .decimal("share", 0, MaxShare, [&](double number) { service.share = number; })
+            .integer("claim-retention-s", 1, MaxSeconds, [&](std::int64_t n) { service.claimRetention = Duration::seconds(static_cast<double>(n)); })
             .text("non-idempotent", [&](const std::string &text) { return parseCalls(text, service.nonIdempotentCalls); })
-            .refuseOthers();
+            .rejectUnknownKeys();
         insert(m_result.value.services, service.name, service, reader.place(), "service " + name);
     }
 
@@ -223,7 +223,7 @@
         const auto setCurrent = [&](const std::string &text) {
             model.current = ArtifactName(text.find('@') == std::string::npos ? name + "@" + text : text);
         };
-        reader.reference("service", [&](const std::string &text) { model.service = ServiceName(text); }).reference("current", setCurrent).refuseOthers();
+        reader.reference("service", [&](const std::string &text) { model.service = ServiceName(text); }).reference("current", setCurrent).rejectUnknownKeys();
         insert(m_result.value.models, name, model, reader.place(), "model " + name);
     }
 
@@ -231,7 +231,7 @@
     {
         Artifact artifact {.name = ArtifactName(name), .location = reader.place()};
         readSize(reader, artifact);
-        reader.refuseOthers();
+        reader.rejectUnknownKeys();
         insert(m_result.value.artifacts, artifact.name, artifact, reader.place(), "artifact " + name);
     }
 
@@ -240,7 +240,7 @@
         Artifact artifact {.name = ArtifactName(name), .kind = ArtifactKind::Adapter, .location = reader.place()};
         reader.reference("base", [&](const std::string &text) { artifact.base = ArtifactName(text); });
         readSize(reader, artifact);
-        reader.refuseOthers();
+        reader.rejectUnknownKeys();
         insert(m_result.value.artifacts, artifact.name, artifact, reader.place(), "artifact " + name);
     }
 
@@ -248,9 +248,9 @@
     {
         // A faulty size is reported once, here, and not again as a size of 0 by the check of the whole set.
         artifact.size = Bytes(1);
-        constexpr double LeastGigabytes = 1e-6;
+        constexpr double MinGigabytes = 1e-6;
         reader.require("size-gb").decimal(
-            "size-gb", LeastGigabytes, MostGigabytes, [&](double number) { artifact.size = std::max(Bytes(1), Bytes::gigabytes(number)); });
+            "size-gb", MinGigabytes, MaxGigabytes, [&](double number) { artifact.size = std::max(Bytes(1), Bytes::gigabytes(number)); });
     }
 
     auto readTarget(SectionReader &reader, const std::string &name) -> void
@@ -258,30 +258,30 @@
         Target target {.id = TargetId(name), .location = reader.place()};
         reader.reference("service", [&](const std::string &text) { target.service = ServiceName(text); })
             .choice("fencing", {"checked", "ignored"}, [&](std::size_t index) { target.fencing = static_cast<FencingSupport>(index); })
-            .integer("longest-order-delay-ms", 0, MostMillis, [&](std::int64_t n) { target.longestOrderDelay = Duration::millis(n); })
-            .refuseOthers();
+            .integer("longest-order-delay-ms", 0, MaxMillis, [&](std::int64_t n) { target.longestOrderDelay = Duration::millis(n); })
+            .rejectUnknownKeys();
         insert(m_result.value.targets, target.id, target, reader.place(), "target " + name);
     }
 
     auto readPolicy(SectionReader &reader) -> void
     {
-        constexpr double MostRate = 1e6;
-        constexpr std::int64_t MostLoads = 1000;
-        constexpr double MostReserve = 0.95;
-        constexpr std::int64_t MostZones = 100;
+        constexpr double MaxRate = 1e6;
+        constexpr std::int64_t MaxLoads = 1000;
+        constexpr double MaxReserve = 0.95;
+        constexpr std::int64_t MaxZones = 100;
         auto &policy = m_result.value.policy;
         if (policy.location.line != 0) {
-            complain(reader.place(), "[policy] stands twice, first in " + policy.location.file + ":" + std::to_string(policy.location.line));
+            addFinding(reader.place(), "[policy] stands twice, first in " + policy.location.file + ":" + std::to_string(policy.location.line));
             return;
         }
         policy.location = reader.place();
-        reader.decimal("move-cost", 0, MostRate, [&](double number) { policy.moveCost = number; })
-            .integer("horizon-s", 1, MostSeconds, [&](std::int64_t n) { policy.horizon = Duration::seconds(static_cast<double>(n)); })
-            .decimal("loads-per-second", 0.001, MostRate, [&](double number) { policy.loadsPerSecond = number; })
-            .integer("parallel-loads", 1, MostLoads, [&](std::int64_t n) { policy.parallelLoads = static_cast<int>(n); })
-            .decimal("kv-reserve", 0, MostReserve, [&](double number) { policy.kvReserve = number; })
-            .integer("floor-zones", 1, MostZones, [&](std::int64_t n) { policy.floorZones = static_cast<int>(n); })
-            .refuseOthers();
+        reader.decimal("move-cost", 0, MaxRate, [&](double number) { policy.moveCost = number; })
+            .integer("horizon-s", 1, MaxSeconds, [&](std::int64_t n) { policy.horizon = Duration::seconds(static_cast<double>(n)); })
+            .decimal("loads-per-second", 0.001, MaxRate, [&](double number) { policy.loadsPerSecond = number; })
+            .integer("parallel-loads", 1, MaxLoads, [&](std::int64_t n) { policy.parallelLoads = static_cast<int>(n); })
+            .decimal("kv-reserve", 0, MaxReserve, [&](double number) { policy.kvReserve = number; })
+            .integer("floor-zones", 1, MaxZones, [&](std::int64_t n) { policy.floorZones = static_cast<int>(n); })
+            .rejectUnknownKeys();
     }
 
     template<typename Map, typename Key, typename Value>
@@ -291,7 +291,7 @@
         // Twice in one file is a finding of the INI reader already. A version and an adapter of one name are not.
         const bool isReported = known->second.location.file == place.file && isSameKind(known->second, value);
         if (!isNew && !isReported) {
-            complain(place, what + " is declared twice, first in " + known->second.location.file + ":" + std::to_string(known->second.location.line));
+            addFinding(place, what + " is declared twice, first in " + known->second.location.file + ":" + std::to_string(known->second.location.line));
         }
     }
 
@@ -305,7 +305,7 @@
         return a.kind == b.kind;
     }
 
-    auto complain(const SourceLocation &place, std::string message) -> void
+    auto addFinding(const SourceLocation &place, std::string message) -> void
     {
         m_result.findings.push_back({place, std::move(message)});
     }
--- a/src/settings/inifile.cpp
+++ b/src/settings/inifile.cpp
@@ -14,10 +14,10 @@
 {
 
 // A heading is followed by this key, so that inih reports sections without keys as well.
-constexpr auto SectionMark = "kingcup-section=";
-constexpr auto SectionMarkKey = "kingcup-section";
+constexpr auto SectionMarker = "kingcup-section=";
+constexpr auto SectionMarkerKey = "kingcup-section";
 // inih cuts the names of sections at this length silently.
-constexpr std::size_t LongestSectionName = 49;
+constexpr std::size_t MaxSectionName = 49;
 
 /// Feeds inih one line at a time: it names only the first faulty line of what it is given.
 class LineParser
@@ -42,15 +42,15 @@
         m_pending = {line.substr(first)};
         if (line[first] == '[') {
             m_isHeading = true;
-            m_pending.insert(m_pending.begin(), SectionMark);
+            m_pending.insert(m_pending.begin(), SectionMarker);
         }
         const int faulty = ini_parse_stream(&LineParser::read, this, &LineParser::handle, this);
         if (m_tooLong) {
-            complain("line is too long");
+            addFinding("line is too long");
         } else if (faulty != 0) {
-            complain(m_isHeading ? "section heading without closing bracket" : "neither a section, a key with a value, nor a comment");
+            addFinding(m_isHeading ? "section heading without closing bracket" : "neither a section, a key with a value, nor a comment");
         } else if (m_isNameless) {
-            complain("section without a name");
+            addFinding("section without a name");
         }
     }
 
@@ -89,13 +89,13 @@
         if (m_isNameless) {
             return;
         }
-        if (name.size() >= LongestSectionName) {
-            complain("section name is too long");
+        if (name.size() >= MaxSectionName) {
+            addFinding("section name is too long");
             return;
         }
         const auto same = std::find_if(m_file.sections.begin(), m_file.sections.end(), [&](const IniSection &known) { return known.name == name; });
         if (same != m_file.sections.end()) {
-            complain("section [" + name + "] stands twice, first in line " + std::to_string(same->line));
+            addFinding("section [" + name + "] stands twice, first in line " + std::to_string(same->line));
         }
         m_file.sections.push_back({name, m_number, {}});
     }
@@ -103,23 +103,23 @@
     auto addValue(const std::string &key, const std::string &value) -> void
     {
         if (key.empty()) {
-            complain("value without a key");
+            addFinding("value without a key");
             return;
         }
         if (m_file.sections.empty()) {
-            complain("key '" + key + "' stands before any section");
+            addFinding("key '" + key + "' stands before any section");
             return;
         }
         auto &values = m_file.sections.back().values;
         const auto same = std::find_if(values.begin(), values.end(), [&](const IniValue &known) { return known.key == key; });
         if (same != values.end()) {
-            complain("key '" + key + "' stands twice, first in line " + std::to_string(same->line));
+            addFinding("key '" + key + "' stands twice, first in line " + std::to_string(same->line));
             return;
         }
         values.push_back({key, value, m_number});
     }
 
-    auto complain(std::string message) -> void
+    auto addFinding(std::string message) -> void
     {
         m_findings.push_back({{m_file.path, m_number}, std::move(message)});
     }
--- a/src/settings/settingspage.cpp
+++ b/src/settings/settingspage.cpp
@@ -34,10 +34,10 @@
             text << "\n[" << section << "]\n";
         }
         text << "; " << key.meaning << " (" << typeText(key) << ")\n";
-        if (key.fallback.empty()) {
+        if (key.defaultValue.empty()) {
             text << ";" << key.key << " =\n";
         } else {
-            text << key.key << " = " << key.fallback << "\n";
+            text << key.key << " = " << key.defaultValue << "\n";
         }
     }
     return text.str();
@@ -57,8 +57,8 @@
             section = key.section;
             text << "\n## [" << section << "]\n\n| key | type and range | default | meaning |\n| --- | --- | --- | --- |\n";
         }
-        text << "| `" << key.key << "` | " << typeText(key) << " | " << (key.fallback.empty() ? "none" : "`" + key.fallback + "`") << " | " << key.meaning
-             << " |\n";
+        text << "| `" << key.key << "` | " << typeText(key) << " | " << (key.defaultValue.empty() ? "none" : "`" + key.defaultValue + "`") << " | "
+             << key.meaning << " |\n";
     }
     return text.str();
 }
--- a/src/settings/valueparsers.cpp
+++ b/src/settings/valueparsers.cpp
@@ -14,15 +14,15 @@
 {
 
 template<typename T>
-auto parseNumber(const std::string &text, T least, T most, const char *kind) -> ParsedValue<T>
+auto parseNumber(const std::string &text, T min, T max, const char *kind) -> ParsedValue<T>
 {
     ParsedValue<T> parsed;
     const char *end = text.data() + text.size();
     const auto outcome = std::from_chars(text.data(), end, parsed.value);
     if (outcome.ec != std::errc() || outcome.ptr != end) {
         parsed.error = "'" + text + "' is not " + kind;
-    } else if (!(parsed.value >= least && parsed.value <= most)) {
-        parsed.error = text + " is out of range (" + numberText(static_cast<double>(least)) + " to " + numberText(static_cast<double>(most)) + ")";
+    } else if (!(parsed.value >= min && parsed.value <= max)) {
+        parsed.error = text + " is out of range (" + numberText(static_cast<double>(min)) + " to " + numberText(static_cast<double>(max)) + ")";
     }
     return parsed;
 }
@@ -44,14 +44,14 @@
 
 } // namespace
 
-auto parseInteger(const std::string &text, std::int64_t least, std::int64_t most) -> ParsedValue<std::int64_t>
+auto parseInteger(const std::string &text, std::int64_t min, std::int64_t max) -> ParsedValue<std::int64_t>
 {
-    return parseNumber<std::int64_t>(text, least, most, "a whole number");
+    return parseNumber<std::int64_t>(text, min, max, "a whole number");
 }
 
-auto parseDecimal(const std::string &text, double least, double most) -> ParsedValue<double>
+auto parseDecimal(const std::string &text, double min, double max) -> ParsedValue<double>
 {
-    return parseNumber<double>(text, least, most, "a number");
+    return parseNumber<double>(text, min, max, "a number");
 }
 
 auto parseBool(const std::string &text) -> ParsedValue<bool>
--- a/src/settings/valueparsers.h
+++ b/src/settings/valueparsers.h
@@ -18,10 +18,10 @@
     std::string error; ///< empty if the text is good
 };
 
-/// A whole number from `least` to `most`.
-auto parseInteger(const std::string &text, std::int64_t least, std::int64_t most) -> ParsedValue<std::int64_t>;
-/// A decimal number from `least` to `most`.
-auto parseDecimal(const std::string &text, double least, double most) -> ParsedValue<double>;
+/// A whole number from `min` to `max`.
+auto parseInteger(const std::string &text, std::int64_t min, std::int64_t max) -> ParsedValue<std::int64_t>;
+/// A decimal number from `min` to `max`.
+auto parseDecimal(const std::string &text, double min, double max) -> ParsedValue<double>;
 /// "true" or "false".
 auto parseBool(const std::string &text) -> ParsedValue<bool>;
 /// IP:PORT with a port from 1 to 65535.
--- a/tests/fuzz_platform.cpp
+++ b/tests/fuzz_platform.cpp
@@ -35,7 +35,7 @@
     .replacesValues = true};
 
 /// The text, garbled; the same each time for one round.
-auto garbled(int round, const std::string &text) -> std::string
+auto mutated(int round, const std::string &text) -> std::string
 {
     return Mutator(static_cast<std::uint32_t>(round), Mutations).mutate(text);
 }
@@ -45,7 +45,7 @@
     return time >= Duration() && time <= Duration::seconds(1e9);
 }
 
-auto isSane(const EngineDeclaration &engine) -> bool
+auto isInRange(const EngineDeclaration &engine) -> bool
 {
     const auto &models = engine.models();
     return engine.slots >= 0 && engine.kvTokens >= 0 && engine.adapterSlots >= 0 && engine.loadsPerSecond >= 0 && engine.memory >= Bytes()
@@ -55,7 +55,7 @@
            });
 }
 
-auto isSane(const Route &route) -> bool
+auto isInRange(const Route &route) -> bool
 {
     const auto &services = route.services;
     return isSpan(route.timeout) && isSpan(route.goal) && isSpan(route.pauseGoal) && route.attempts >= 1 && route.priority >= 0 && !services.empty()
@@ -69,15 +69,15 @@
     REQUIRE(Platform::decodeTraffic(Document).isValid());
     int read = 0;
     for (int round = 0; round < Rounds; ++round) {
-        const auto checked = Platform::decodeTraffic(garbled(round, Document));
+        const auto checked = Platform::decodeTraffic(mutated(round, Document));
         read += checked.isValid() ? 1 : 0;
         INFO("round " << round);
         for (const auto &route : checked.value.routes) {
-            REQUIRE(isSane(route));
+            REQUIRE(isInRange(route));
         }
         for (const auto &[name, service] : checked.value.services) {
             REQUIRE(service.maxConnections >= 0);
-            REQUIRE((!service.engine || isSane(*service.engine)));
+            REQUIRE((!service.engine || isInRange(*service.engine)));
         }
         const auto &limits = checked.value.limits;
         REQUIRE((limits.headBytes > 0 && limits.bodyBytes > 0 && limits.bodyBytes < (1ULL << 40U) && isSpan(limits.headTimeout) && isSpan(limits.idleTimeout)));
@@ -90,7 +90,7 @@
     REQUIRE(Platform::decodeTarget("r1", Row));
     int read = 0;
     for (int round = 0; round < Rounds; ++round) {
-        const auto target = Platform::decodeTarget("r1", garbled(round, Row));
+        const auto target = Platform::decodeTarget("r1", mutated(round, Row));
         read += target ? 1 : 0;
         INFO("round " << round);
         REQUIRE((!target
@@ -104,7 +104,7 @@
     REQUIRE(Platform::decodeReport(Report));
     int read = 0;
     for (int round = 0; round < Rounds; ++round) {
-        const auto report = Platform::decodeReport(garbled(round, Report));
+        const auto report = Platform::decodeReport(mutated(round, Report));
         read += report ? 1 : 0;
         INFO("round " << round);
         REQUIRE((!report || (report->waiting >= 0 && report->running >= 0 && report->kvUsed >= 0 && report->kvTotal >= 0)));
@@ -117,7 +117,7 @@
     const auto format = Platform::makeStoreFormat();
     const std::string page = R"({"rows":[{"key":"a","version":3,"value":"x"},{"key":"b","version":4,"deleted":true}],"version":9,"more":false})";
     for (int round = 0; round < Rounds; ++round) {
-        const auto bytes = garbled(round, page);
+        const auto bytes = mutated(round, page);
         const auto decoded = format.decodePage(bytes);
         REQUIRE((!decoded || decoded->rows.size() < 100));
         format.decodeChangeVersion(bytes);
@@ -141,7 +141,7 @@
     for (int round = 0; round < Rounds; ++round) {
         auto head = example;
         for (const auto &[name, value] : known) {
-            head.headers.push_back({name, garbled(round, value)});
+            head.headers.push_back({name, mutated(round, value)});
         }
         const auto traits = Platform::readRequest(head);
         REQUIRE((traits.promptTokens >= 0 && traits.maxOutputTokens >= 0));
--- a/tests/unit_operator.cpp
+++ b/tests/unit_operator.cpp
@@ -32,9 +32,9 @@
 }
 
 /// An entry's loop with hooks that the tests set, the server, and a client that calls it from another thread.
-struct Bench {
+struct ServerFixture {
     EventLoop loop;
-    DeclarationsAt current;
+    AdoptedDeclarations current;
     SystemStatus status;
     std::vector<DeclarationsChange> applied;
     std::function<void(const ChangeAnswer &)> waiting; ///< of the last change, if `answerAtOnce` is false
@@ -42,7 +42,7 @@
     std::unique_ptr<OperatorServer> server;
     std::unique_ptr<Proto::Operators::Stub> stub;
 
-    explicit Bench(const TlsFiles &tls = {})
+    explicit ServerFixture(const TlsFiles &tls = {})
     {
         OperatorHooks hooks;
         hooks.post = [this](std::function<void()> task) {
@@ -136,113 +136,113 @@
 
 TEST_CASE("an operator's set reaches the entry and is answered with its revision")
 {
-    Bench bench;
+    ServerFixture fixture;
     Proto::ChangeReply reply;
-    REQUIRE(bench.call(&Proto::Operators::Stub::Apply, applyRequest(), reply).ok());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Apply, applyRequest(), reply).ok());
     REQUIRE(reply.outcome() == Proto::CHANGE_OUTCOME_ACCEPTED);
     REQUIRE(reply.revision() == 8);
     REQUIRE(reply.change_id() == "change-1");
-    REQUIRE(bench.applied.size() == 1);
-    REQUIRE(isSameSet(bench.applied[0].set, smallSet()));
-    REQUIRE(bench.applied[0].expected == Revision(7));
+    REQUIRE(fixture.applied.size() == 1);
+    REQUIRE(isSameSet(fixture.applied[0].set, smallSet()));
+    REQUIRE(fixture.applied[0].expected == Revision(7));
 }
 
 TEST_CASE("a request with a field that the entry doesn't know is refused whole")
 {
     // A newer tool sends a field that this entry was built without. Passed over, the change would be accepted without the part that
     // the operator added, and nobody would notice.
-    Bench bench;
+    ServerFixture fixture;
     auto request = applyRequest();
     auto *service = request.mutable_set()->mutable_services(0);
     service->GetReflection()->MutableUnknownFields(service)->AddVarint(99, 1);
     Proto::ChangeReply reply;
-    const auto status = bench.call(&Proto::Operators::Stub::Apply, request, reply);
+    const auto status = fixture.call(&Proto::Operators::Stub::Apply, request, reply);
     REQUIRE(status.error_code() == grpc::StatusCode::INVALID_ARGUMENT);
     REQUIRE(status.error_message() == "this entry doesn't know: field 99 of Service; nothing was changed");
-    REQUIRE(bench.applied.empty());
+    REQUIRE(fixture.applied.empty());
 }
 
 TEST_CASE("a value that the entry doesn't know is refused as well")
 {
-    Bench bench;
+    ServerFixture fixture;
     auto request = applyRequest();
     request.mutable_set()->mutable_services(0)->set_priority(static_cast<Proto::Priority>(17));
     Proto::ChangeReply reply;
-    REQUIRE(bench.call(&Proto::Operators::Stub::Apply, request, reply).error_code() == grpc::StatusCode::INVALID_ARGUMENT);
-    REQUIRE(bench.applied.empty());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Apply, request, reply).error_code() == grpc::StatusCode::INVALID_ARGUMENT);
+    REQUIRE(fixture.applied.empty());
 }
 
 TEST_CASE("a name that stands twice in a request is a finding, with its place")
 {
-    Bench bench;
+    ServerFixture fixture;
     auto request = applyRequest();
     auto *twin = request.mutable_set()->add_models();
     *twin = request.set().models(0);
     twin->mutable_place()->set_file("other.ini");
     twin->mutable_place()->set_line(4);
     Proto::ChangeReply reply;
-    REQUIRE(bench.call(&Proto::Operators::Stub::Apply, request, reply).ok());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Apply, request, reply).ok());
     REQUIRE(reply.outcome() == Proto::CHANGE_OUTCOME_REFUSED);
     REQUIRE(toString(fromProto(reply.findings(0))) == "other.ini:4: model sun is declared twice");
-    REQUIRE(bench.applied.empty());
+    REQUIRE(fixture.applied.empty());
 }
 
 TEST_CASE("one entity alone is merged into the set that its author saw")
 {
-    Bench bench;
-    bench.current = {Revision(7), smallSet()};
+    ServerFixture fixture;
+    fixture.current = {Revision(7), smallSet()};
     Proto::ChangeRequest request;
     request.set_change_id("change-2");
     request.set_expected_revision(7);
     request.set_remove_adapter("austin");
     Proto::ChangeReply reply;
-    REQUIRE(bench.call(&Proto::Operators::Stub::Change, request, reply).ok());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Change, request, reply).ok());
     REQUIRE(reply.outcome() == Proto::CHANGE_OUTCOME_ACCEPTED);
-    REQUIRE_FALSE(bench.applied.at(0).set.artifacts.contains(ArtifactName("austin")));
-    REQUIRE(bench.applied.at(0).set.artifacts.contains(ArtifactName("sun@1")));
+    REQUIRE_FALSE(fixture.applied.at(0).set.artifacts.contains(ArtifactName("austin")));
+    REQUIRE(fixture.applied.at(0).set.artifacts.contains(ArtifactName("sun@1")));
 
     request.set_remove_adapter("nobody");
-    REQUIRE(bench.call(&Proto::Operators::Stub::Change, request, reply).ok());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Change, request, reply).ok());
     REQUIRE(reply.outcome() == Proto::CHANGE_OUTCOME_REFUSED);
 
     request.set_expected_revision(6);
-    REQUIRE(bench.call(&Proto::Operators::Stub::Change, request, reply).ok());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Change, request, reply).ok());
     REQUIRE(reply.outcome() == Proto::CHANGE_OUTCOME_CONFLICT);
     REQUIRE(reply.revision() == 7);
 }
 
 TEST_CASE("get, drain and explain answer what the entry says")
 {
-    Bench bench;
-    bench.current = {Revision(7), smallSet()};
+    ServerFixture fixture;
+    fixture.current = {Revision(7), smallSet()};
     Proto::GetReply got;
-    REQUIRE(bench.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), got).ok());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), got).ok());
     REQUIRE(got.revision() == 7);
     REQUIRE(isSameSet(fromProto(got.set()).value, smallSet()));
     Proto::DrainRequest drain;
     drain.set_target("runner-1");
     Proto::DrainReply drained;
-    REQUIRE(bench.call(&Proto::Operators::Stub::Drain, drain, drained).ok());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Drain, drain, drained).ok());
     REQUIRE(drained.accepted());
     Proto::ExplainRequest explain;
     explain.set_subject("request-1");
     Proto::ExplainReply explained;
-    REQUIRE(bench.call(&Proto::Operators::Stub::Explain, explain, explained).ok());
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Explain, explain, explained).ok());
     REQUIRE(explained.decisions(0).subject() == "request-1");
 }
 
 TEST_CASE("a watch shows each change of the status and ends once the revision is in force")
 {
-    Bench bench;
-    bench.status.revision = Revision(8);
-    bench.status.inForce = Revision(7);
-    auto timer = bench.loop.after(Duration::millis(50), [&] { bench.status.inForce = Revision(8); });
+    ServerFixture fixture;
+    fixture.status.revision = Revision(8);
+    fixture.status.inForce = Revision(7);
+    auto timer = fixture.loop.after(Duration::millis(50), [&] { fixture.status.inForce = Revision(8); });
     std::vector<std::uint64_t> seen;
-    const auto status = bench.whileRunning([&] {
+    const auto status = fixture.whileRunning([&] {
         grpc::ClientContext context;
         Proto::WatchRequest request;
         request.set_until_revision(8);
-        const auto reader = bench.stub->Watch(&context, request);
+        const auto reader = fixture.stub->Watch(&context, request);
         Proto::StatusReply reply;
         while (reader->Read(&reply)) {
             seen.push_back(reply.in_force());
@@ -257,17 +257,17 @@
 {
     // An entry is stopped while a change waits for the store's answer. Were the call kept open, the entry's planned stop would hang on
     // it; answered as refused, the operator would be told a thing that nobody knows.
-    Bench bench;
-    bench.answerAtOnce = false;
+    ServerFixture fixture;
+    fixture.answerAtOnce = false;
     auto result = std::async(std::launch::async, [&] {
         grpc::ClientContext context;
         Proto::ChangeReply reply;
-        return bench.stub->Apply(&context, applyRequest(), &reply);
+        return fixture.stub->Apply(&context, applyRequest(), &reply);
     });
-    REQUIRE(bench.loop.runUntil([&] { return bench.waiting != nullptr; }, Limit));
-    bench.server->shutdown();
+    REQUIRE(fixture.loop.runUntil([&] { return fixture.waiting != nullptr; }, Limit));
+    fixture.server->shutdown();
     REQUIRE(result.get().error_code() == grpc::StatusCode::UNAVAILABLE);
-    bench.waiting({.outcome = ChangeOutcome::Accepted, .revision = Revision(8), .findings = {}, .message = ""});
+    fixture.waiting({.outcome = ChangeOutcome::Accepted, .revision = Revision(8), .findings = {}, .message = ""});
 }
 
 TEST_CASE("with TLS only operators whose certificate the authority signed get through")
@@ -275,29 +275,29 @@
     // The operators' port can be reached from other hosts. Whoever gets through can remove every service.
     TestAuthority authority;
     TestAuthority stranger;
-    Bench bench(authority.issue("entry"));
+    ServerFixture fixture(authority.issue("entry"));
     Proto::GetReply reply;
-    const auto plain = bench.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply);
+    const auto plain = fixture.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply);
     REQUIRE(plain.error_code() == grpc::StatusCode::UNAVAILABLE);
 
     auto files = authority.issue("operator");
-    bench.connect(tlsCredentials(files));
-    REQUIRE(bench.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply).ok());
+    fixture.connect(tlsCredentials(files));
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply).ok());
 
-    bench.connect(tlsCredentials({"", "", files.authority}));
-    REQUIRE(bench.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply).error_code() == grpc::StatusCode::UNAVAILABLE);
+    fixture.connect(tlsCredentials({"", "", files.authority}));
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply).error_code() == grpc::StatusCode::UNAVAILABLE);
 
     auto strange = stranger.issue("operator");
     strange.authority = files.authority;
-    bench.connect(tlsCredentials(strange));
-    REQUIRE(bench.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply).error_code() == grpc::StatusCode::UNAVAILABLE);
+    fixture.connect(tlsCredentials(strange));
+    REQUIRE(fixture.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply).error_code() == grpc::StatusCode::UNAVAILABLE);
 }
 
 TEST_CASE("a second server on the same port is refused")
 {
-    Bench bench;
+    ServerFixture fixture;
     std::string error;
     const OperatorHooks hooks;
-    REQUIRE(kingcupCreateOperatorServer({.listen = {"127.0.0.1", bench.server->port()}, .tls = {}}, hooks, error) == nullptr);
+    REQUIRE(kingcupCreateOperatorServer({.listen = {"127.0.0.1", fixture.server->port()}, .tls = {}}, hooks, error) == nullptr);
     REQUIRE_FALSE(error.empty());
 }
