--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -23,7 +23,7 @@
     if (answer.end != CallEnd::Complete) {
         return {ErrorCode::Unknown, toString(answer.end)};
     }
-    // An engine that answers is there, whatever it says: only one that can't be reached counts as gone.
+    // Any answer shows that the engine is running; only one that can't be reached is reported as Unavailable.
     return {answer.status == HttpStatus::NotFound ? ErrorCode::NotFound : ErrorCode::Overloaded, "status " + std::to_string(answer.status)};
 }
 
@@ -108,7 +108,7 @@
     return events;
 }
 
-/// Parses a good answer, or says what was wrong with it. A view that isn't an object must not pass for an empty engine.
+/// Parses a successful answer. A body that isn't a JSON object is an error; it must not be read as the state of an empty engine.
 template<typename T>
 auto parsed(const HttpAnswer &answer, T (*parse)(const nlohmann::json &)) -> Result<T>
 {
@@ -134,14 +134,14 @@
     return call;
 }
 
-/// Nobody waits for the answer: an engine that misses it finishes work that is thrown away.
+/// Asks the engine to stop work on a request. The result is ignored: if the call fails, the engine only finishes work that nobody needs.
 auto notifyCancelled(HttpClient &client, const EngineOptions &options, const RequestId &id) -> void
 {
     const nlohmann::json body {{"id", id.text()}};
     startShortCall(client, postCall(options.server, "/cancel", dumpJson(body), options.timeout), [](const HttpAnswer &) {});
 }
 
-/// A completion's handle: cancelling it closes the stream and tells the engine, which may otherwise go on generating for nobody.
+/// Handle of a completion. cancel() closes the stream and notifies the engine, which might otherwise go on generating.
 class Completion : public HttpCallHandle
 {
 public:
@@ -185,14 +185,14 @@
     bool m_ended = false;
 };
 
-/// What is known of an answer while it arrives.
+/// State of an answer that is being received.
 struct AnswerState {
     bool isEventStream = false;
     EventStreamReader reader {nullptr};
 };
 
-/// The caller's hooks behind a look at the answer. An engine that dies may still close its stream in order: only [DONE] tells that the
-/// answer is whole, and part of an answer must not be passed off as all of it.
+/// Installs hooks that check the answer before they call the user's hooks. A crashing engine may still close its stream cleanly, so
+/// an event stream is complete only if it contains [DONE]; without it the call ends as Broken.
 auto wrapHooks(HttpCall &call, EngineHooks hooks, const std::shared_ptr<Completion> &completion) -> void
 {
     auto state = std::make_shared<AnswerState>();
--- a/src/engine/serviceclient.cpp
+++ b/src/engine/serviceclient.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Headers of an answer that are passed on, beside the content type.
+/// Headers of an answer that are forwarded to the caller, besides the content type.
 constexpr std::array<const char *, 8> ForwardedHeaders
     = {"cache-control", "content-encoding", "content-language", "content-disposition", "etag", "last-modified", "location", "retry-after"};
 
--- a/src/engine/serviceclient.h
+++ b/src/engine/serviceclient.h
@@ -1,4 +1,4 @@
-// The adapter to a plain service: a call is passed through as it came, with the ids that tell tries of one request apart.
+// The client of a plain service. It forwards a caller's request unchanged, with added headers for the request and attempt ids.
 #pragma once
 
 #include "core/ids.h"
@@ -15,19 +15,19 @@
     RequestId id;
     AttemptId attempt;
     std::string method;
-    std::string path; ///< with query, as the service sees it
-    HttpHeaders headers; ///< the caller's, its idempotency-key included
+    std::string path; ///< with query
+    HttpHeaders headers; ///< the caller's, including its idempotency-key
     std::string body;
-    Duration timeout; ///< from now to the last byte; 0: none
+    Duration timeout; ///< from now to the last byte; 0: no limit
 };
 
 struct ServiceHooks {
     std::function<void(int status, const HttpHeaders &headers)> onHead;
     std::function<void(std::string_view data)> onData;
-    std::function<void(CallEnd end)> onEnd; ///< once
+    std::function<void(CallEnd end)> onEnd; ///< called once
 };
 
-/// An interface, so that tests can put their own service in its place. Hooks run on the loop, never from within call().
+/// An interface, so that tests can replace it. Hooks are called on the event loop, never from within call().
 class ServiceClient
 {
 public:
--- a/src/kingcupctl/arguments.h
+++ b/src/kingcupctl/arguments.h
@@ -12,14 +12,14 @@
 namespace KingCup
 {
 
-/// What scripts can rely on.
+/// Exit codes, stable for scripts.
 enum class ExitCode {
     Ok = 0,
     Differs = 1, ///< diff found differences
     Usage = 2, ///< the command line is wrong
     Refused = 3, ///< the input or the change has findings; nothing was changed
-    Conflict = 4, ///< another revision came first; nothing was changed
-    Unknown = 5, ///< no answer came: the change may or may not have happened
+    Conflict = 4, ///< another revision was accepted first; nothing was changed
+    Unknown = 5, ///< no answer: the change may or may not have been applied
     Unreachable = 6, ///< no entry answered; nothing was changed
 };
 
@@ -33,21 +33,21 @@
     bool undo = false;
     bool help = false;
     bool hasExpected = false;
-    std::uint64_t expected = 0;
-    std::uint64_t until = 0;
-    std::vector<std::string> logs; ///< files with log lines of any hosts
+    std::uint64_t expected = 0; ///< revision that the set to apply is based on, if hasExpected
+    std::uint64_t until = 0; ///< watch: end once this revision is in force; 0: never
+    std::vector<std::string> logs; ///< explain: log files, of any number of hosts
     std::string changeId;
     std::string author;
     Duration timeout;
 };
 
-/// The options, for parsing, help and completion.
+/// The options, for parsing, the help text and shell completion.
 auto optionsDescription() -> boost::program_options::options_description;
 
-/// The arguments, or a sentence that says what is wrong with them.
+/// The arguments, or an error message.
 struct ParsedArguments {
     Arguments arguments;
-    std::string error;
+    std::string error; ///< empty if the arguments are valid
 };
 auto parseArguments(int count, const char *const *texts) -> ParsedArguments;
 
--- a/src/kingcupctl/changecommands.cpp
+++ b/src/kingcupctl/changecommands.cpp
@@ -22,7 +22,7 @@
 
 constexpr auto RetryDelay = std::chrono::milliseconds(300);
 
-/// A UUID of version 7: the time first, so that ids sort by their making.
+/// A UUID of version 7, which starts with the time, so that ids sort by creation time.
 auto newChangeId() -> std::string
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -45,7 +45,7 @@
     return text;
 }
 
-/// The folder's declarations; findings are printed and leave it empty.
+/// Reads the folder's declarations. Prints findings, if there are any, and returns none.
 auto readFolder(const std::string &folder) -> std::optional<Declarations>
 {
     auto read = loadDeclarations(folder);
@@ -70,14 +70,14 @@
     }
 }
 
-/// The answer to a change, or what kept it from coming.
+/// Result of the last attempt to apply a change.
 struct ChangeResult {
     grpc::Status status;
     Proto::ChangeReply reply;
-    bool mayHaveTakenEffect = false; ///< some try of it has no known end
+    bool mayHaveTakenEffect = false; ///< the outcome of an earlier attempt is unknown
 };
 
-/// Whether asking again could tell nothing new.
+/// Whether the outcome of the change is known, so that no further attempt is needed.
 auto isFinal(const ChangeResult &result) -> bool
 {
     if (!result.status.ok()) {
@@ -86,7 +86,7 @@
     return result.reply.outcome() != Proto::CHANGE_OUTCOME_UNKNOWN && result.reply.outcome() != Proto::CHANGE_OUTCOME_UNAVAILABLE;
 }
 
-/// Asks until an entry knows the outcome. The change id makes every further try a question about the same change.
+/// Repeats the request until its outcome is known or `limit` has passed. The change id keeps it from being applied twice.
 auto applyUntilKnown(Connection &connection, const Proto::ApplyRequest &request, Duration limit, ChangeResult &result) -> void
 {
     const auto end = std::chrono::steady_clock::now() + std::chrono::microseconds(limit.inMicros());
@@ -95,7 +95,7 @@
         if (isFinal(result) || std::chrono::steady_clock::now() > end) {
             return;
         }
-        // "Certainly not done" is said of one try. An earlier one, whose answer was lost, may still have been done.
+        // UNAVAILABLE means that this attempt changed nothing. An earlier attempt whose answer was lost may still have been applied.
         const bool hadNoEffect = result.status.ok() && result.reply.outcome() == Proto::CHANGE_OUTCOME_UNAVAILABLE;
         result.mayHaveTakenEffect = result.mayHaveTakenEffect || !hadNoEffect;
         std::cerr << "kingcupctl: not done yet; asking again about change " << request.change_id() << "\n";
@@ -146,7 +146,7 @@
     }
 }
 
-/// Shows progress until the revision is in force in every live process.
+/// Prints progress until the revision is in force in every live process or `limit` has passed.
 auto waitUntilInForce(Connection &connection, std::uint64_t revision, Duration limit) -> ExitCode
 {
     std::uint64_t inForce = 0;
@@ -200,7 +200,7 @@
     request.set_expected_revision(arguments.hasExpected ? arguments.expected : current.revision());
     request.set_author(arguments.author);
     *request.mutable_set() = toProto(*set);
-    // An id that was given may stand for a change that was sent before, by an earlier run of this tool.
+    // With --change-id an earlier run of this tool may already have sent the change.
     ChangeResult result {.status = {}, .reply = {}, .mayHaveTakenEffect = !arguments.changeId.empty()};
     const bool isNew = arguments.changeId.empty() && !arguments.hasExpected;
     if (isNew && current.revision() != 0 && isSameSet(fromProto(current.set()).value, *set)) {
--- a/src/kingcupctl/connection.cpp
+++ b/src/kingcupctl/connection.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// A host that is gone answers nothing at all: the next entry is tried after this long.
+// An entry whose host is down doesn't answer at all; the next one is tried after this time.
 constexpr auto AttemptTimeout = std::chrono::seconds(10);
 constexpr int MaxReplyBytes = 64 << 20; ///< bytes
 
@@ -31,7 +31,7 @@
 
 struct Connection::Private {
     std::vector<std::unique_ptr<OperatorStub>> stubs;
-    std::size_t current = 0; ///< the one that answered last
+    std::size_t current = 0; ///< index of the entry that is called first: the one that answered last
 };
 
 Connection::Connection(const Arguments &arguments)
--- a/src/kingcupctl/connection.h
+++ b/src/kingcupctl/connection.h
@@ -1,4 +1,4 @@
-// Calls entries of the system, one after the other until one answers.
+// Calls to the entries of the system. If an entry can't be reached, the next one is tried.
 #pragma once
 
 #include "arguments.h"
@@ -19,7 +19,7 @@
     explicit Connection(const Arguments &arguments);
     ~Connection();
 
-    /// Makes a call at the first entry that can be reached. `deadline` limits each try.
+    /// Calls the first entry that can be reached, starting with the one that answered last. Each attempt has a time limit of 10 seconds.
     template<typename Request, typename Reply>
     auto call(grpc::Status (OperatorStub::*method)(grpc::ClientContext *, const Request &, Reply *), const Request &request, Reply &reply) -> grpc::Status
     {
@@ -29,7 +29,8 @@
         });
     }
 
-    /// Reads a watch stream until it ends or `onStatus` answers false.
+    /// Reads a watch stream until it ends, `limit` has passed (0: no limit) or `onStatus` returns false. With `until` the entry ends the
+    /// stream once that revision is in force everywhere; 0: never.
     auto watch(std::uint64_t until, Duration limit, const std::function<bool(const kingcup::operators::StatusReply &)> &onStatus) -> grpc::Status;
 
 private:
@@ -40,7 +41,7 @@
     std::unique_ptr<Private> d;
 };
 
-/// What a failed call means for the exit code, and a line on standard error.
+/// Prints the error of a failed call to standard error and returns the exit code for it.
 auto reportFailure(const grpc::Status &status) -> ExitCode;
 
 } // namespace KingCup
--- a/src/kingcupctl/logcommands.cpp
+++ b/src/kingcupctl/logcommands.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Calls `onLine` with each line of the files. The name of the first file that can't be read; empty: none.
+/// Calls `onLine` with each line of the files, up to the first file that can't be opened. Returns that file's name; empty: all were read.
 auto forEachLine(const std::vector<std::string> &files, const std::function<void(std::string_view line)> &onLine) -> std::string
 {
     for (const auto &name : files) {
--- a/src/kingcupctl/main.cpp
+++ b/src/kingcupctl/main.cpp
@@ -1,4 +1,4 @@
-// kingcupctl: operators' command line. See `kingcupctl help`.
+// kingcupctl: the operators' command-line tool. See `kingcupctl help`.
 #include "commands.h"
 
 #include <algorithm>
--- a/src/kingcupctl/output.h
+++ b/src/kingcupctl/output.h
@@ -1,4 +1,4 @@
-// What kingcupctl prints: tables for people, JSON for scripts.
+// Output of kingcupctl: text tables, or JSON for scripts.
 #pragma once
 
 #include "core/finding.h"
@@ -10,7 +10,7 @@
 namespace KingCup
 {
 
-/// Rows under headings, each column as wide as its widest cell.
+/// A table with headings; each column is as wide as its widest cell.
 class TextTable
 {
 public:
@@ -22,13 +22,13 @@
     std::vector<std::vector<std::string>> m_rows; ///< headings first
 };
 
-/// The message as JSON, with the schema's field names and with fields that have their default.
+/// The message as JSON, with the schema's field names and including fields at their default.
 auto toJsonText(const google::protobuf::Message &message) -> std::string;
 
-/// Each finding on a line of standard error.
+/// Prints each finding on a line of standard error.
 auto printFindings(const Findings &findings) -> void;
 
-/// "14.0 GB".
+/// Formats a size, e.g. "14.0 GB".
 auto gigabytesText(std::int64_t bytes) -> std::string;
 
 } // namespace KingCup
--- a/src/kingcupd/main.cpp
+++ b/src/kingcupd/main.cpp
@@ -1,4 +1,4 @@
-// kingcupd: the daemon. One binary, two roles; the role and everything else is in its settings file.
+// kingcupd: the daemon. One binary for the roles entry, agent and gateway; the role and all other settings are in its settings file.
 #include "agent/agent.h"
 #include "entry/entry.h"
 #include "gateway/gateway.h"
@@ -30,19 +30,19 @@
     } else {
         FLAGS_log_dir = log.directory;
     }
-    FLAGS_logbufsecs = 0; // a process may be killed at any moment; its last lines are the ones that matter
+    FLAGS_logbufsecs = 0; // no buffering: the process may be killed at any time, and the last lines before that are needed most
     FLAGS_v = log.verbosity;
     google::InitGoogleLogging(program);
 }
 
-/// Runs the loop with one role on it; `start` makes the role.
+/// Runs the event loop with a role, which `start` creates. `reload` is called at SIGHUP; null: none.
 template<typename Role>
 auto runRole(const std::function<std::unique_ptr<Role>(EventLoop &loop)> &start, const std::function<void(Role &role)> &reload) -> int
 {
     EventLoop loop;
     try {
-        // Before the role: threads that it starts inherit the blocked signals. One that doesn't would take a SIGTERM, and with it the process,
-        // in the middle of every answer.
+        // The signals are blocked before the role is created, so that its threads inherit the mask. A thread that doesn't block SIGTERM could
+        // receive it, which would kill the process with its answers unfinished.
         std::unique_ptr<Role> role;
         std::function<void()> onReload;
         if (reload) {
--- a/src/operator/operatorapi.h
+++ b/src/operator/operatorapi.h
@@ -1,14 +1,14 @@
-// Between an entry and its operators' module: what operators ask, in core types. No gRPC here, so that an entry is built
-// without it and an agent never carries it.
+// Interface between an entry and its operators' module, in core types. It doesn't use gRPC, so that entries and agents are
+// built without gRPC; only the module links it.
 //
-// The module serves gRPC on threads of its own. It calls the hooks only on the entry's event loop (through `post`), and
-// takes their answers from there.
+// The module serves gRPC on its own threads. It calls the hooks on the entry's event loop only (through `post`), and receives
+// their answers there.
 //
 // Index of sections (search for [SECTION]):
 //   Changes   applying a set of declarations
-//   Status    what is in force, where, and with which copies
-//   Hooks     what the entry gives the module
-//   Server    what the module gives the entry
+//   Status    processes, the revisions in force there, replicas, recent decisions
+//   Hooks     functions that the entry provides to the module
+//   Server    the server that the module provides to the entry
 #pragma once
 
 #include "core/declarations.h"
@@ -26,10 +26,10 @@
 
 // [SECTION] Changes
 
-/// A whole set, made against the revision that its author saw.
+/// Replaces the whole set of declarations, on the condition that `expected` is still the newest revision.
 struct DeclarationsChange {
-    ChangeId id; ///< asking again with the same id never applies it twice
-    Revision expected; ///< 0: there is no set yet
+    ChangeId id; ///< a repeated request with the same id isn't applied again
+    Revision expected; ///< the revision that the author's set is based on; 0: there is no set yet
     Declarations set;
     std::string author;
 };
@@ -38,19 +38,19 @@
     Accepted,
     Unchanged, ///< the set is already in force
     Refused, ///< the findings say why
-    Conflict, ///< another revision came first
-    Unknown, ///< the store didn't answer; ask again with the same id
-    Unavailable, ///< the store could not be asked: this call has certainly changed nothing
+    Conflict, ///< `expected` isn't the newest revision
+    Unknown, ///< the store didn't answer: the change may have been applied; repeat the request with the same id
+    Unavailable, ///< the store couldn't be reached: this request has changed nothing
 };
 
 struct ChangeAnswer {
     ChangeOutcome outcome = ChangeOutcome::Unknown;
-    Revision revision; ///< accepted: its own; conflict: the one that beat it; otherwise the newest known
+    Revision revision; ///< Accepted: of the new set; Conflict: the one that was accepted instead; otherwise the newest known
     Findings findings;
     std::string message; ///< one sentence, may be empty
 };
 
-/// The newest set that an entry has adopted.
+/// The newest set of declarations that an entry has adopted.
 struct AdoptedDeclarations {
     Revision revision;
     Declarations set;
@@ -63,7 +63,7 @@
     std::string role; ///< "entry" or "agent"
     ZoneName zone;
     std::string state; ///< "live", "leaving", "suspect", ...
-    Revision revision; ///< in force there
+    Revision revision; ///< in force in this process
     Bytes memoryTotal;
     Bytes memoryCharged;
     int running = 0;
@@ -80,15 +80,15 @@
 
 struct SystemStatus {
     Revision revision; ///< newest accepted
-    Revision inForce; ///< lowest among live processes
-    std::string laggard; ///< who is behind, if any
+    Revision inForce; ///< lowest revision among live processes
+    std::string laggard; ///< the process with the lowest revision; empty if none is behind this entry
     std::vector<ProcessStatus> processes;
     std::vector<ArtifactStatus> artifacts;
     bool storeReachable = false;
     RowVersion planVersion;
 };
 
-/// One of the recent decisions.
+/// A recent decision of the entry, for `kingcupctl explain`.
 struct RecentDecision {
     Duration age;
     std::string part; ///< "routing", "placement", ...
@@ -103,7 +103,7 @@
 
 // [SECTION] Hooks
 
-/// Called on the entry's loop, except `post`, which any thread may call.
+/// Called on the entry's event loop, except for `post`, which any thread may call.
 struct OperatorHooks {
     std::function<void(std::function<void()> task)> post;
     std::function<void(const DeclarationsChange &change, std::function<void(const ChangeAnswer &)> answer)> apply;
@@ -117,8 +117,8 @@
 
 struct OperatorOptions {
     Endpoint listen; ///< port 0 lets the system choose
-    TlsFiles tls; ///< both sides verified; empty: plain
-    Duration watchPeriod = Duration::millis(250); ///< between looks at the status for a watching operator
+    TlsFiles tls; ///< mutual TLS; empty: no TLS
+    Duration watchPeriod = Duration::millis(250); ///< interval at which a watch call polls the status
 };
 
 class OperatorServer
@@ -126,11 +126,11 @@
 public:
     virtual ~OperatorServer() = default;
     virtual auto port() const -> int = 0;
-    /// Ends every open call and stops serving. No hook is called once this has returned; tasks that were posted do nothing.
+    /// Ends all open calls and stops the server. Once it has returned no hook is called; tasks that are still posted do nothing.
     virtual auto shutdown() -> void = 0;
 };
 
-/// The module's factory, found by this name: null, with `error` filled, if it can't listen.
+/// The module's factory, which the entry looks up by this name. Returns null and sets `error` if the server can't listen.
 using CreateOperatorServer = OperatorServer *(*)(const OperatorOptions &options, const OperatorHooks &hooks, std::string &error);
 constexpr auto CreateOperatorServerName = "kingcupCreateOperatorServer";
 
--- a/src/operator/operatorcalls.cpp
+++ b/src/operator/operatorcalls.cpp
@@ -158,7 +158,7 @@
 
 auto WatchCall::OnWriteDone(bool ok) -> void
 {
-    const auto self = shared_from_this(); // Finish() may let go of the last other reference, with our lock still held
+    const auto self = shared_from_this(); // Finish() may release the last other reference while m_mutex is still locked
     const std::lock_guard lock(m_mutex);
     m_writing = false;
     if (m_endAfterWrite) {
--- a/src/operator/operatorcalls.h
+++ b/src/operator/operatorcalls.h
@@ -1,8 +1,9 @@
-// Open gRPC calls of operators: each answered once, by the entry's loop, by a cancelled caller or by the end of the server.
+// Open gRPC calls of operators. Each is ended exactly once: by an answer from the entry's loop, by the client's cancellation or by
+// the server's shutdown.
 //
 // Index of sections (search for [SECTION]):
 //   CallRegistry   the open calls of one server
-//   UnaryCall      one question, one answer
+//   UnaryCall      one request, one reply
 //   WatchCall      a stream of status messages
 #pragma once
 
@@ -26,15 +27,16 @@
 {
 public:
     virtual ~OpenCall() = default;
-    /// Ends the call with this status, unless it has ended already. Any thread.
+    /// Ends the call with this status, unless it has already ended. Thread-safe.
     virtual auto end(const grpc::Status &status) -> void = 0;
 };
 
-/// gRPC's shutdown waits for every open call; one whose answer the stopped loop will never give would hang the process.
+/// The open calls of a server, to be ended at shutdown. gRPC's shutdown waits for every open call, and the stopped event loop
+/// answers none any more, so an open call would hang the process.
 class CallRegistry
 {
 public:
-    /// False once endAll() was called.
+    /// Returns false, and doesn't add the call, once endAll() has been called.
     auto add(const std::shared_ptr<OpenCall> &call) -> bool;
     auto remove(const std::shared_ptr<OpenCall> &call) -> void;
     auto endAll() -> void;
@@ -55,7 +57,7 @@
     explicit UnaryCall(std::shared_ptr<CallRegistry> registry);
 
     auto isEnded() const -> bool;
-    /// Fills the reply and sends it; does nothing if the call has ended, as its reply is gone then.
+    /// Calls `fill` to write the reply and sends it. Does nothing if the call has ended, since gRPC may have freed the reply.
     auto answer(const std::function<void()> &fill) -> void;
     auto end(const grpc::Status &status) -> void override;
 
@@ -64,7 +66,7 @@
 
 private:
     std::shared_ptr<CallRegistry> m_registry;
-    std::shared_ptr<UnaryCall> m_self; ///< gRPC holds a bare pointer until OnDone()
+    std::shared_ptr<UnaryCall> m_self; ///< keeps the call alive until OnDone(): gRPC holds only a raw pointer
     std::atomic<bool> m_ended {false};
 };
 
@@ -75,7 +77,7 @@
 public:
     WatchCall(std::shared_ptr<CallRegistry> registry, OperatorHooks hooks, Duration period, Revision until);
 
-    /// Asks for the status now, and again after each period.
+    /// Requests the status now and then once per period; sends it whenever it has changed.
     auto start() -> void;
     auto end(const grpc::Status &status) -> void override;
 
@@ -90,18 +92,18 @@
     auto endLocked(const grpc::Status &status) -> void;
 
     std::shared_ptr<CallRegistry> m_registry;
-    std::shared_ptr<WatchCall> m_self; ///< gRPC holds a bare pointer until OnDone()
+    std::shared_ptr<WatchCall> m_self; ///< keeps the call alive until OnDone(): gRPC holds only a raw pointer
     OperatorHooks m_hooks;
     Duration m_period;
     Revision m_until;
     grpc::Alarm m_alarm;
 
-    std::mutex m_mutex; ///< guards what follows
+    std::mutex m_mutex; ///< guards the members below
     OperatorProto::StatusReply m_reply;
     std::string m_lastSent;
     bool m_writing = false;
     bool m_ended = false;
-    bool m_endAfterWrite = false; ///< while a write is under way: end after it
+    bool m_endAfterWrite = false; ///< end() was called during a write: finish the call once the write is done
     grpc::Status m_endStatus;
 };
 
--- a/src/operator/operatorcodec.cpp
+++ b/src/operator/operatorcodec.cpp
@@ -56,7 +56,7 @@
     Service service {.name = ServiceName(message.name())};
     service.kind = message.kind() == OperatorProto::SERVICE_KIND_PLAIN ? ServiceKind::Plain : ServiceKind::Models;
     service.priority = fromProto(message.priority());
-    // A number that was left out arrives as 0, and stands for the default.
+    // An absent number is read as 0 and means the default.
     if (message.time_budget_ms() != 0) {
         service.timeBudget = Duration::millis(message.time_budget_ms());
     }
--- a/src/operator/operatorcodec.h
+++ b/src/operator/operatorcodec.h
@@ -1,4 +1,4 @@
-// Between core types and the messages of the operators' schema, for the module and for kingcupctl.
+// Converts between core types and the messages of the operators' Protobuf schema. Used by the operators' module and by kingcupctl.
 #pragma once
 
 #include "core/declarations.h"
@@ -9,7 +9,7 @@
 namespace KingCup
 {
 
-/// The messages of the schema.
+/// The generated messages of the schema.
 namespace OperatorProto = kingcup::operators;
 
 auto toProto(const Declarations &set) -> OperatorProto::DeclarationSet;
@@ -22,11 +22,11 @@
 auto toProto(const SystemStatus &status) -> OperatorProto::StatusReply;
 auto toProto(const std::vector<RecentDecision> &decisions) -> OperatorProto::ExplainReply;
 
-/// Puts one changed entity into the set, or takes one out. A removal of what isn't there is a finding.
+/// Adds, replaces or removes one entity of the set. Removing an entity that isn't declared is a finding.
 auto mergeChange(const OperatorProto::ChangeRequest &request, Declarations &set) -> Findings;
 
-/// Names every field and enumeration value of the message, at any depth, that this schema doesn't know. Protobuf keeps
-/// them silently: an operator's change would be accepted without the part that a newer tool put in.
+/// The names of all fields and enumeration values in the message and its submessages that this schema doesn't define. Protobuf
+/// accepts them silently, so a change from a newer tool would be applied without the parts that this version doesn't know.
 auto unknownFields(const google::protobuf::Message &message) -> std::vector<std::string>;
 
 } // namespace KingCup
--- a/src/operator/operatorserver.cpp
+++ b/src/operator/operatorserver.cpp
@@ -1,4 +1,4 @@
-// The operators' gRPC service: checks each request's shape, asks the entry through its hooks, and answers.
+// The operators' gRPC service: rejects requests with unknown fields, calls the entry's hooks and sends the replies.
 #include "operator/operatorapi.h"
 #include "operator/operatorcalls.h"
 #include "operator/operatorcodec.h"
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr int MaxRequestBytes = 16 << 20; ///< bytes; a set of 1,600 models with their adapters has under 1 MB
+constexpr int MaxRequestBytes = 16 << 20; ///< a set of 1,600 models with their adapters takes less than 1 MB
 constexpr int MaxListedFields = 5;
 
 auto listText(const std::vector<std::string> &names) -> std::string
@@ -66,7 +66,7 @@
                                        .expected = Revision(requestCopy.expected_revision()),
                                        .set = std::move(current.set),
                                        .author = requestCopy.author()};
-            // Merged into another set than the author saw, the change could mean something else; the store would refuse it anyway.
+            // The change may have a different effect on a set that its author hasn't seen. The store would refuse it anyway.
             if (current.revision != change.expected) {
                 const ChangeAnswer answer {
                     .outcome = ChangeOutcome::Conflict, .revision = current.revision, .findings = {}, .message = "another revision came first"};
@@ -131,8 +131,8 @@
     }
 
 private:
-    /// Refuses a request with parts that this entry doesn't know; otherwise runs `task` on the entry's loop, with a copy of the
-    /// request: the operator may cancel at any moment, and gRPC frees its own then.
+    /// Refuses a request with fields or values that this entry doesn't know. Otherwise runs `task` on the entry's loop with a copy
+    /// of the request, because gRPC frees the original as soon as the operator cancels the call.
     template<typename Request, typename Task>
     auto runOnLoop(const Request &request, Task task) -> grpc::ServerUnaryReactor *
     {
@@ -179,7 +179,7 @@
     std::shared_ptr<CallRegistry> m_registry;
 };
 
-/// Both sides present a certificate; the files are read again when they change.
+/// Mutual TLS. The files are checked for changes every 10 seconds, so that certificates can be renewed without a restart.
 auto tlsCredentials(const TlsFiles &files) -> std::shared_ptr<grpc::ServerCredentials>
 {
     constexpr unsigned SecondsBetweenReads = 10;
@@ -201,7 +201,7 @@
         grpc::ServerBuilder builder;
         const auto credentials = options.tls.isEnabled() ? tlsCredentials(options.tls) : grpc::InsecureServerCredentials();
         builder.AddListeningPort(toString(options.listen), credentials, &m_port);
-        builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0); // a second entry on the port must fail, not share it
+        builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0); // a second process on this port must fail instead of sharing it
         builder.SetMaxReceiveMessageSize(MaxRequestBytes);
         builder.RegisterService(&m_service);
         m_server = builder.BuildAndStart();
--- a/src/platform/hostlistclient.cpp
+++ b/src/platform/hostlistclient.cpp
@@ -25,7 +25,7 @@
     return host;
 }
 
-/// None if the answer isn't a list: it must not be taken for an empty one.
+/// None if the body isn't a host list; it must not be read as an empty one.
 auto hostsOf(const std::string &body) -> std::optional<std::vector<ListedHost>>
 {
     const auto json = parseJson(body);
@@ -37,7 +37,7 @@
     for (const auto &entry : list) {
         auto host = hostOf(entry);
         if (host.id.empty() || host.endpoint.port == 0) {
-            LOG(WARNING) << "platform: host without id or address left out id=" << host.id;
+            LOG(WARNING) << "platform: ignored a host without id or address id=" << host.id;
             continue;
         }
         hosts.push_back(std::move(host));
@@ -99,7 +99,7 @@
     }
     auto list = hostsOf(answer.body);
     if (!list) {
-        LOG(WARNING) << "platform: host list can't be read bytes=" << answer.body.size();
+        LOG(WARNING) << "platform: malformed host list bytes=" << answer.body.size();
         return;
     }
     applyList(std::move(*list));
--- a/src/platform/objectclient.h
+++ b/src/platform/objectclient.h
@@ -1,4 +1,4 @@
-// The platform's object store: blobs with an entity tag, written conditionally.
+// The client of the platform's object store: blobs with an entity tag (ETag) and conditional writes.
 #pragma once
 
 #include "core/result.h"
@@ -11,11 +11,11 @@
 namespace KingCup
 {
 
-/// What must hold for a put to take effect.
+/// Precondition of a put.
 struct PutCondition {
     enum class Kind { None, Absent, Matches };
     Kind kind = Kind::None;
-    std::string etag; ///< Matches: of the object that is replaced
+    std::string etag; ///< Matches: of the object to replace
 };
 
 struct StoredObject {
@@ -23,7 +23,7 @@
     std::string body;
 };
 
-/// An interface, so that tests can put their own store in its place. Results come on the loop, never from within the call.
+/// An interface, so that tests can replace it. Results are delivered on the event loop, never from within the call.
 class ObjectClient
 {
 public:
@@ -34,11 +34,11 @@
     virtual ~ObjectClient() = default;
 
     virtual auto isReachable() const -> bool = 0;
-    /// Tried once. Errors: Conflict, Unavailable, Overloaded, Unknown (it may have taken effect).
+    /// Never retried. Errors: Conflict, Unavailable, Overloaded, Unknown (the put may have taken effect).
     virtual auto put(const std::string &key, std::string body, const PutCondition &condition, PutDone done) -> void = 0;
-    /// Errors: NotFound, Unavailable, Overloaded, Unknown.
+    /// Retried until `deadline` has passed from now. Errors: NotFound, Unavailable, Overloaded, Unknown.
     virtual auto get(const std::string &key, Duration deadline, GetDone done) -> void = 0;
-    /// Tried again until the deadline: removing what is gone is a success.
+    /// Retried until `deadline` has passed from now. Succeeds if the object doesn't exist.
     virtual auto remove(const std::string &key, Duration deadline, RemoveDone done) -> void = 0;
 };
 
--- a/src/platform/platformcaller.cpp
+++ b/src/platform/platformcaller.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr auto MinTimeout = Duration::millis(1); // 0 would mean no limit
+constexpr auto MinTimeout = Duration::millis(1); // a timeout of 0 would mean no limit
 
 auto answerOf(const HttpAnswer &got) -> PlatformAnswer
 {
@@ -50,7 +50,7 @@
 }
 
 struct PlatformCaller::Private : std::enable_shared_from_this<Private> {
-    /// A call that is tried until it is answered.
+    /// A call of callWithRetries() that is in progress.
     struct RetriedCall {
         HttpCall call;
         TimePoint deadline;
--- a/src/platform/tableclient.cpp
+++ b/src/platform/tableclient.cpp
@@ -48,7 +48,7 @@
     return answer.outcome == PlatformOutcome::Answered && answer.status == HttpStatus::Ok;
 }
 
-/// An answer that can't be understood says nothing certain about the effect: it counts as lost.
+/// Reads the outcome of an answered transaction. After an invalid answer the effect is unknown, so the outcome stays Lost.
 auto readVerdict(const PlatformAnswer &answer, TransactResult &result) -> void
 {
     const auto json = parseJson(answer.body);
--- a/src/platform/tableclient.h
+++ b/src/platform/tableclient.h
@@ -1,7 +1,7 @@
-// The platform's table service: rows changed together by compare-and-set, read by key or scanned by prefix.
+// The client of the platform's table service: transactions of compare-and-set operations, reads by key and scans by prefix.
 //
-// A transaction is tried once: whoever sends it knows what a lost answer means to it, and how to resolve it. Reads are tried again
-// until their deadline.
+// Transactions are never retried, since only the sender knows how to resolve a lost answer. Reads and scans are retried until their
+// deadline.
 #pragma once
 
 #include "core/ids.h"
@@ -19,16 +19,16 @@
 
 struct TableScan {
     std::string prefix;
-    std::string after; ///< only keys behind this one
+    std::string after; ///< only keys greater than this one
     std::size_t limit = 500;
 };
 
 struct TablePage {
     std::vector<TableRow> rows; ///< in key order
-    bool more = false; ///< there are further rows behind the last
+    bool more = false; ///< there are further rows after the last one
 };
 
-/// An interface, so that tests can put their own table in its place. Results come on the loop, never from within the call.
+/// An interface, so that tests can replace it. Results are delivered on the event loop, never from within the call.
 class TableClient
 {
 public:
@@ -38,10 +38,10 @@
 
     virtual ~TableClient() = default;
 
-    virtual auto isReachable() const -> bool = 0; ///< as far as recent calls tell
-    /// Sending the same operations again is safe: they can take effect only once, since each put changes its row's version.
+    virtual auto isReachable() const -> bool = 0; ///< the circuit breaker is closed
+    /// Sending the same operations again is safe: each put changes its row's version, so they can take effect only once.
     virtual auto transact(const WriteId &id, const std::vector<TableOp> &ops, TransactDone done) -> void = 0;
-    /// Absent rows are left out. Errors: Unavailable, Overloaded, Unknown (none has an effect).
+    /// Absent rows are left out. Errors: Unavailable, Overloaded, Unknown; the table is unchanged in any case.
     virtual auto read(const std::vector<std::string> &keys, Duration deadline, ReadDone done) -> void = 0;
     virtual auto scan(const TableScan &scan, Duration deadline, ScanDone done) -> void = 0;
 };
--- a/src/settings/daemonsettings.cpp
+++ b/src/settings/daemonsettings.cpp
@@ -12,13 +12,14 @@
 namespace
 {
 
-/// One key: its description and how its text is stored. `store` answers with an error message, or nothing.
+/// One key: its description and its parser. `store` parses the text into the settings and returns an error message, empty if
+/// the text is valid.
 struct SettingSpec {
     SettingDescription description;
     std::function<std::string(DaemonSettings &, const std::string &)> store;
 };
 
-/// Collects the table's rows, section by section.
+/// Builds the table of keys, section by section.
 class SpecBuilder
 {
 public:
@@ -84,7 +85,7 @@
     }
 
     using WordSetter = std::function<void(DaemonSettings &, std::size_t)>;
-    /// The words stand in the order of the enumeration's values; `defaultValue` is empty if the key must be given.
+    /// `words` are in the order of the enumeration's values. `defaultValue` is empty if the key is required.
     auto
     choice(const std::string &key, const std::vector<std::string> &words, const std::string &defaultValue, const std::string &meaning, const WordSetter &set)
         -> SpecBuilder &
@@ -445,7 +446,7 @@
     }
 }
 
-/// Keys that a role can't do without.
+/// The keys that a role requires, besides `role` itself.
 auto requiredKeys(ProcessRole role) -> std::vector<SettingDescription>
 {
     std::vector<SettingDescription> keys {
--- a/src/settings/daemonsettings.h
+++ b/src/settings/daemonsettings.h
@@ -1,12 +1,12 @@
 // Settings of kingcupd: one INI file per process, read once at the start.
 //
-// Every key's type, unit, range and default stands once, in the table of daemonsettings.cpp. `--print-settings`, the page
-// docs/SETTINGS.md and the checks are made from that table.
+// The table in daemonsettings.cpp defines each key's type, unit, range and default. `--print-settings`, docs/SETTINGS.md
+// and the validation of settings files are all generated from it.
 //
 // Index of sections (search for [SECTION]):
-//   Values    what the file says, by section
-//   Reading   from a file or text, with all findings
-//   Table     the keys, for whoever describes them
+//   Values    the settings, one struct per section of the file
+//   Reading   parses a file or a text and reports all findings
+//   Table     descriptions of all keys, for documentation
 #pragma once
 
 #include "core/endpoint.h"
@@ -23,48 +23,48 @@
 
 // [SECTION] Values
 
-/// A gateway is an entry that reaches targets directly, without agents.
+/// Entries and gateways serve callers. An entry reaches targets through agents, a gateway reaches them directly.
 enum class ProcessRole { Entry, Agent, Gateway };
-/// A runner drives an accelerator; a plain target is an instance of a plain service.
+/// A runner is a model engine with an accelerator; a plain target is an instance of a plain service.
 enum class TargetKind { Runner, Plain };
-/// How floor and surge copies are planned; the last two are baselines for measurements.
+/// How floor and surge replicas are planned; the last two are baselines for measurements.
 enum class PlacementPolicy { Objective, Static, OnDemand };
 /// How an entry chooses a target; the last two are baselines for measurements.
 enum class RoutingPolicy { Objective, RoundRobin, LeastLoaded };
 
 struct ProcessSettings {
     ProcessRole role {};
-    std::string id; ///< of the entry or the target
+    std::string id; ///< of the entry or gateway; for an agent, of its target
     ZoneName zone;
-    std::string operatorModule; ///< path of the operators' module; empty: beside the executable
+    std::string operatorModule; ///< path of the operators' gRPC module; empty: kingcup-operator.so beside the executable
 };
 
 struct ListenSettings {
-    Endpoint callers; ///< entries
-    Endpoint peers; ///< both roles; an agent's is also the lock of its slot
-    std::optional<Endpoint> operators; ///< entries; gRPC
-    std::optional<Endpoint> metrics; ///< agents and gateways; entries serve metrics on the callers' port
-    std::optional<Endpoint> ready; ///< gateways: answers whether this process takes new connections
+    Endpoint callers; ///< entries and gateways: HTTP
+    Endpoint peers; ///< all roles: other processes; holding an agent's port keeps a second agent from serving the same target
+    std::optional<Endpoint> operators; ///< entries: gRPC; absent: none
+    std::optional<Endpoint> metrics; ///< agents and gateways: HTTP; entries serve metrics on the callers' port
+    std::optional<Endpoint> ready; ///< gateways: HTTP readiness check, 200 while this process accepts new connections
 };
 
 struct PlatformSettings {
-    Endpoint table;
-    Endpoint objects;
-    Endpoint hosts;
-    Endpoint store; ///< gateways: rows, watched and changed under conditions
+    Endpoint table; ///< transactional table service
+    Endpoint objects; ///< object store
+    Endpoint hosts; ///< list of live and leaving hosts
+    Endpoint store; ///< gateways: persistent rows with watches and conditional writes
 };
 
-/// What the deployment allows a gateway, and how soon it must act.
+/// Limits and deadlines of a gateway.
 struct GatewaySettings {
-    double retryRatio = 0; ///< sends beyond the first, as a share of the requests
-    Duration retryWindow;
-    double retryAllowance = 0; ///< such sends in a window, over all gateways together, beyond the share
-    Duration lease; ///< of the one gateway that gives orders to runners
-    Duration stopLimit; ///< from the request to stop until the process must be gone
-    int loadWindowSeconds = 0; ///< over which loads from the weight store are counted
-    double loadOvershoot = 0; ///< factor on the loads allowed in that window
-    double processorShare = 0; ///< cores of the host that are this process's own
-    Duration revocationLimit; ///< within which a revoked key must be out of force on every gateway, also on one that is cut off; 0: no limit
+    double retryRatio = 0; ///< allowed resends, as a fraction of the requests
+    Duration retryWindow; ///< over which that fraction is taken
+    double retryAllowance = 0; ///< resends per window beyond that fraction, of all gateways together
+    Duration lease; ///< duration of the lease whose holder may give orders to runners
+    Duration stopLimit; ///< from the request to stop until the process is killed
+    int loadWindowSeconds = 0; ///< window over which loads from the weight store are counted
+    double loadOvershoot = 0; ///< factor on the loads that the weight store allows in that window
+    double processorShare = 0; ///< cores of the host that are reserved for this process
+    Duration revocationLimit; ///< until a revoked key is rejected by every gateway, even one cut off from the store; 0: no limit for those
 
     auto operator==(const GatewaySettings &) const -> bool = default;
 };
@@ -72,7 +72,7 @@
 struct TargetSettings {
     Endpoint engine; ///< of the runner's engine or the plain service
     TargetKind kind {};
-    ServiceName service; ///< that a plain target serves; empty: as declared
+    ServiceName service; ///< service of the target; empty: as declared
 };
 
 struct TlsSettings {
@@ -84,11 +84,11 @@
 
 struct LimitSettings {
     std::size_t maxBody = 0; ///< bytes of a caller's request
-    int maxConnections = 0; ///< of callers
+    int maxConnections = 0; ///< concurrent connections of callers
     int maxQueue = 0; ///< requests waiting in one entry
-    std::size_t streamBuffer = 0; ///< bytes kept for one stream before its source is held back
-    Duration requestBudget; ///< where neither caller nor service names one
-    Duration headerTimeout; ///< a caller that sends its request slower is cut off
+    std::size_t streamBuffer = 0; ///< bytes buffered for one stream before backpressure is applied to its source
+    Duration requestBudget; ///< time budget of a request if neither the caller nor the service sets one
+    Duration headerTimeout; ///< a caller that takes longer to send its request is disconnected
     int maxDecisions = 0; ///< recent decisions kept for `kingcupctl explain`
 };
 
@@ -103,13 +103,13 @@
 };
 
 struct TimingSettings {
-    Duration heartbeat; ///< between pings on a control stream
-    Duration suspectAfter; ///< of silence on a control stream
-    Duration report; ///< between load reports of an agent
-    Duration hostsPoll;
-    Duration configPoll;
-    Duration planPeriod;
-    Duration drainLimit; ///< after which a planned stop gives up and says what it cut off
+    Duration heartbeat; ///< interval of pings on a control stream
+    Duration suspectAfter; ///< time without messages on a control stream after which the remote side gets no new work
+    Duration report; ///< agents: interval of load reports
+    Duration hostsPoll; ///< interval of reads of the host list
+    Duration configPoll; ///< entries: interval of reads of the change log
+    Duration planPeriod; ///< entries: interval of placement decisions
+    Duration drainLimit; ///< after which a planned stop ends the remaining requests and logs them
 };
 
 struct DaemonSettings {
@@ -127,32 +127,33 @@
 
 // [SECTION] Reading
 
-/// Reads a settings file. Keys that are missing have their defaults; unknown ones are findings.
+/// Reads a settings file. Missing keys get their defaults; unknown keys and missing keys without a default that the role needs
+/// are findings, as are TLS files that can't be read.
 auto loadDaemonSettings(const std::string &path) -> Checked<DaemonSettings>;
 
-/// As loadDaemonSettings(), from text; `path` is only used in findings.
+/// Parses the text of a settings file, without checking whether the TLS files can be read. `path` is only used in findings.
 auto parseDaemonSettings(const std::string &path, const std::string &text) -> Checked<DaemonSettings>;
 
 // [SECTION] Table
 
-/// One key as an operator sees it.
+/// Documentation of one key.
 struct SettingDescription {
     std::string section;
     std::string key;
     std::string type; ///< "integer", "endpoint", "name", ...
     std::string unit; ///< empty if it has none
     std::string range; ///< as text, e.g. "1 to 65536" or "entry, agent"
-    std::string defaultValue; ///< the default; empty if there is none
+    std::string defaultValue; ///< empty if there is none
     std::string meaning; ///< one sentence
 };
 
-/// All keys, in the order in which they are shown.
+/// All keys, in the order of the documentation.
 auto settingDescriptions() -> std::vector<SettingDescription>;
 
-/// A commented settings file with every key at its default.
+/// A settings file with a comment on each key and all defaults; keys without a default are commented out.
 auto commentedSettings() -> std::string;
 
-/// docs/SETTINGS.md.
+/// The text of docs/SETTINGS.md.
 auto settingsPage() -> std::string;
 
 } // namespace KingCup
--- a/src/settings/declarationfile.cpp
+++ b/src/settings/declarationfile.cpp
@@ -19,7 +19,7 @@
 constexpr double MaxShare = 1e6;
 constexpr double MaxGigabytes = 4096;
 
-/// Reads the keys of one section into a value; what is wrong goes to the findings with its line.
+/// Reads the keys of one section. Errors become findings with their line.
 class SectionReader
 {
 public:
@@ -35,7 +35,7 @@
         return {m_file.path, m_section.line};
     }
 
-    /// Calls `store` with the text of `key`, if it is given; `store` answers with an error message, or nothing.
+    /// Calls `store` with the text of `key` if the section has that key. `store` returns an error message, empty if the text is valid.
     auto text(const std::string &key, const std::function<std::string(const std::string &)> &store) -> SectionReader &
     {
         m_known.push_back(key);
@@ -51,7 +51,7 @@
         return *this;
     }
 
-    /// The name of something else in the set; the check of the whole set finds those that aren't there.
+    /// Reads the name of another declared entity. Whether that one is declared is checked later, by checkDeclarations().
     auto reference(const std::string &key, const std::function<void(const std::string &)> &set) -> SectionReader &
     {
         return text(key, [&](const std::string &given) {
@@ -93,7 +93,7 @@
         });
     }
 
-    /// A finding unless `key` is given.
+    /// Adds a finding if the section lacks `key`.
     auto require(const std::string &key) -> SectionReader &
     {
         const auto isKey = [&](const IniValue &value) {
@@ -105,7 +105,7 @@
         return *this;
     }
 
-    /// Keys that none of the calls above asked for are findings.
+    /// Adds a finding for each key that no earlier call has read.
     auto rejectUnknownKeys() -> void
     {
         for (const auto &value : m_section.values) {
@@ -127,7 +127,7 @@
     std::vector<std::string> m_known;
 };
 
-/// "POST /debits, PUT /extensions"; answers with an error message, or nothing.
+/// Parses a list such as "POST /debits, PUT /extensions". Returns an error message, empty if the text is valid.
 auto parseCalls(const std::string &text, std::vector<NonIdempotentCall> &calls) -> std::string
 {
     for (const auto &part : splitList(text)) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// What one section means depends on others: versions join their models, services are inherited.
+    /// Resolves references between sections: adds versions to their models and sets the services that versions and adapters inherit.
     auto link() -> void
     {
         auto &set = m_result.value;
@@ -246,7 +246,7 @@
 
     static auto readSize(SectionReader &reader, Artifact &artifact) -> void
     {
-        // A faulty size is reported once, here, and not again as a size of 0 by the check of the whole set.
+        // Any size above 0: an invalid one is reported below and must not be reported by checkDeclarations() as well.
         artifact.size = Bytes(1);
         constexpr double MinGigabytes = 1e-6;
         reader.require("size-gb").decimal(
@@ -288,7 +288,7 @@
     auto insert(Map &map, const Key &key, const Value &value, const SourceLocation &place, const std::string &what) -> void
     {
         const auto [known, isNew] = map.emplace(key, value);
-        // Twice in one file is a finding of the INI reader already. A version and an adapter of one name are not.
+        // The INI parser has already reported a duplicate section in the same file, but not a version and an adapter of the same name.
         const bool isReported = known->second.location.file == place.file && isSameKind(known->second, value);
         if (!isNew && !isReported) {
             addFinding(place, what + " is declared twice, first in " + known->second.location.file + ":" + std::to_string(known->second.location.line));
--- a/src/settings/inifile.cpp
+++ b/src/settings/inifile.cpp
@@ -13,13 +13,13 @@
 namespace
 {
 
-// A heading is followed by this key, so that inih reports sections without keys as well.
+// This key is inserted after each heading, because inih doesn't report sections without keys.
 constexpr auto SectionMarker = "kingcup-section=";
 constexpr auto SectionMarkerKey = "kingcup-section";
-// inih cuts the names of sections at this length silently.
+// inih silently truncates section names to this length.
 constexpr std::size_t MaxSectionName = 49;
 
-/// Feeds inih one line at a time: it names only the first faulty line of what it is given.
+/// Passes inih one line at a time, because inih reports only the first faulty line of its input.
 class LineParser
 {
 public:
@@ -63,7 +63,7 @@
         }
         const auto line = parser.m_pending.back();
         parser.m_pending.pop_back();
-        // One for the terminating zero; a line that fills the buffer would be taken for one to be continued.
+        // The buffer must hold the terminating zero and one byte more: inih treats a line that fills it as incomplete.
         if (line.size() + 2 > static_cast<std::size_t>(size)) {
             parser.m_tooLong = true;
             return nullptr;
@@ -126,7 +126,7 @@
 
     IniFile &m_file;
     Findings &m_findings;
-    std::vector<std::string> m_pending; ///< lines for inih, the next one last
+    std::vector<std::string> m_pending; ///< lines to pass to inih, in reverse order
     int m_number = 0;
     bool m_tooLong = false;
     bool m_isHeading = false;
--- a/src/settings/settingspage.cpp
+++ b/src/settings/settingspage.cpp
@@ -1,4 +1,4 @@
-// What operators read about the settings: a commented file and a page, both made from the table of keys.
+// Documentation of the settings, generated from the table of keys: a commented settings file and docs/SETTINGS.md.
 #include "settings/daemonsettings.h"
 
 #include <sstream>
--- a/src/settings/valueparsers.h
+++ b/src/settings/valueparsers.h
@@ -1,4 +1,4 @@
-// Parses the values of INI keys. Every parser answers with an error message, or nothing if the text is good.
+// Parsers of the values of INI keys. Each returns the value and an error message, which is empty if the text is valid.
 #pragma once
 
 #include "core/endpoint.h"
@@ -11,11 +11,11 @@
 namespace KingCup
 {
 
-/// A value, or what is wrong with its text.
+/// A parsed value, or an error message.
 template<typename T>
 struct ParsedValue {
     T value {};
-    std::string error; ///< empty if the text is good
+    std::string error; ///< empty if the text is valid
 };
 
 /// A whole number from `min` to `max`.
@@ -30,11 +30,11 @@
 auto parseWord(const std::string &text, const std::vector<std::string> &words) -> ParsedValue<std::size_t>;
 /// Letters, digits, '-', '_', '.' and '@'; 1 to 200 of them.
 auto parseName(const std::string &text) -> ParsedValue<std::string>;
-/// Parts between commas, without surrounding blanks; empty parts are left out.
+/// Splits a comma-separated list. Trims blanks and drops empty items.
 auto splitList(const std::string &text) -> std::vector<std::string>;
-/// "a, b or c".
+/// Joins words to a text such as "a, b or c".
 auto wordList(const std::vector<std::string> &words) -> std::string;
-/// A number as short as it can be written.
+/// Formats a number with up to 15 significant digits and without trailing zeros.
 auto numberText(double number) -> std::string;
 
 } // namespace KingCup
--- a/tests/fuzz_platform.cpp
+++ b/tests/fuzz_platform.cpp
@@ -1,5 +1,6 @@
-// What the deployment's store, operators and runners say comes over a network from programs that others maintain: whatever the bytes, it is
-// read with values in their ranges or refused; it never crashes a gateway, for all gateways read the same rows at the same time.
+// The data of the deployment's store, operators and runners comes over a network from programs that others maintain. Any bytes must be
+// refused or read with all values in their ranges, and must never crash a gateway: all gateways read the same rows at the same time, so
+// all would crash.
 #include "net/httpreader.h"
 #include "platform/protocol.h"
 #include "tests/mutator.h"
@@ -34,7 +35,7 @@
     .nasty = {"null", "-1", "1e308", "-1e308", "99999999999999999999", "[]", "{}", "\"\"", "true", "[[[[[[[[", "\xff\xfe", std::string(1, '\0'), "0.5"},
     .replacesValues = true};
 
-/// The text, garbled; the same each time for one round.
+/// The text with random mutations, which depend on the round only.
 auto mutated(int round, const std::string &text) -> std::string
 {
     return Mutator(static_cast<std::uint32_t>(round), Mutations).mutate(text);
@@ -64,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("garbled operators' documents are refused, or read with values in their ranges")
+TEST_CASE("mutated operators' documents are refused, or read with values in their ranges")
 {
     REQUIRE(Platform::decodeTraffic(Document).isValid());
     int read = 0;
@@ -85,7 +86,7 @@
     REQUIRE(read > Rounds / 10);
 }
 
-TEST_CASE("garbled rows name no target, or one with values in their ranges")
+TEST_CASE("mutated rows are refused, or read with values in their ranges")
 {
     REQUIRE(Platform::decodeTarget("r1", Row));
     int read = 0;
@@ -99,7 +100,7 @@
     REQUIRE(read > Rounds / 20);
 }
 
-TEST_CASE("garbled reports are refused, or read with values in their ranges")
+TEST_CASE("mutated reports are refused, or read with values in their ranges")
 {
     REQUIRE(Platform::decodeReport(Report));
     int read = 0;
@@ -112,7 +113,7 @@
     REQUIRE(read > Rounds / 20);
 }
 
-TEST_CASE("the store's pages and answers of any bytes are read or refused")
+TEST_CASE("mutated pages and answers of the store are read or refused")
 {
     const auto format = Platform::makeStoreFormat();
     const std::string page = R"({"rows":[{"key":"a","version":3,"value":"x"},{"key":"b","version":4,"deleted":true}],"version":9,"more":false})";
@@ -124,7 +125,7 @@
     }
 }
 
-TEST_CASE("request heads with any values are read, and nothing in them is below 0")
+TEST_CASE("request heads with mutated values are read without negative numbers")
 {
     HttpHead example;
     example.method = "POST";
--- a/tests/unit_declarationfile.cpp
+++ b/tests/unit_declarationfile.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("a set is read with its units and what it inherits")
+TEST_CASE("a set is read with its units and inherited services")
 {
     const auto read = parseDeclarations("all.ini", SmallText);
     REQUIRE(texts(read.findings).empty());
@@ -91,7 +91,7 @@
     REQUIRE(texts(parseDeclarations("a.ini", text).findings) == std::vector<std::string> {"a.ini:8: model sun: unknown service 'advisery'"});
 }
 
-TEST_CASE("the same set gives the same JSON, and JSON gives the set back")
+TEST_CASE("a set converted to JSON and back is unchanged")
 {
     const auto set = parseDeclarations("a.ini", SmallText).value;
     const auto json = declarationsToJson(set);
@@ -103,9 +103,9 @@
     REQUIRE(isSameSet(set, parseDeclarations("elsewhere.ini", std::string("; moved down\n") + SmallText).value));
 }
 
-TEST_CASE("JSON of another shape is refused")
+TEST_CASE("malformed JSON is refused")
 {
-    // A snapshot can be cut short by the store, or come from something else. Taken for an empty set, it would unload every model.
+    // A snapshot may be truncated or not be one at all. If it were read as an empty set, every model would be unloaded.
     REQUIRE(declarationsFromJson("{\"services\":").has_error());
     REQUIRE(declarationsFromJson("[]").has_error());
     REQUIRE(declarationsFromJson("{}").has_error());
--- a/tests/unit_engine.cpp
+++ b/tests/unit_engine.cpp
@@ -12,7 +12,7 @@
 constexpr auto Limit = Duration::seconds(20);
 using Exchange = std::shared_ptr<HttpExchange>;
 
-/// An engine whose answers the test writes, and a client of it.
+/// A fake engine whose answers the test defines, and a client of it.
 struct Engine {
     EventLoop loop;
     std::vector<HttpRequest> requests;
@@ -75,7 +75,7 @@
 
 } // namespace
 
-TEST_CASE("an order carries its fence, and its answer is read")
+TEST_CASE("an order carries its fence, and its answer is parsed")
 {
     Engine engine;
     engine.always(202, R"({"id":"o1"})");
@@ -92,9 +92,10 @@
     REQUIRE(engine.order().retryAfter == Duration::millis(250));
 }
 
-TEST_CASE("an order without an answer may still take effect")
+TEST_CASE("an order without an answer is lost, not refused")
 {
-    // The ledger must go on charging it. Taken for refused, its memory would be given to another load and the engine would crash.
+    // The order may still take effect, so the ledger must keep charging it. If it were treated as refused, its memory would be given to
+    // another load and the engine would crash.
     Engine engine;
     engine.answer = [](const Exchange &exchange) {
         exchange->abort();
@@ -106,7 +107,7 @@
     REQUIRE(engine.order().answer == OrderAnswer::Refused);
 }
 
-TEST_CASE("an engine that knows no fences says so, and one that doesn't answer says nothing")
+TEST_CASE("raising a fence distinguishes an engine without fencing from one without a valid answer")
 {
     Engine engine;
     auto raise = [&] {
@@ -131,9 +132,9 @@
     REQUIRE(raise().kind == FenceReply::Kind::Failed);
 }
 
-TEST_CASE("a status is read whole, and nonsense is not taken for an empty engine")
+TEST_CASE("a status is parsed, and a malformed one is an error")
 {
-    // An empty status would tell the ledger that all memory is free.
+    // If a malformed status were read as that of an empty engine, the ledger would consider all memory free.
     Engine engine;
     Result<EngineView> view = Error {};
     auto ask = [&] {
@@ -171,10 +172,10 @@
     REQUIRE(headerValue(headers, "x-resume-offset") == "12");
 }
 
-TEST_CASE("a stream that closes in order but lacks its end mark is not whole")
+TEST_CASE("a stream that closes cleanly without [DONE] is broken")
 {
-    // The engine dies while it generates, and what stands before it closes the stream politely. The patron would read half of an
-    // advisory as if it were all.
+    // The engine crashes while it generates, and a proxy in front of it closes the stream cleanly. The caller would take a partial answer
+    // for a complete one.
     Engine engine;
     engine.answer = streamOf("data: {\"n\":1}\n\ndata: {\"n\":2}\n\n");
     REQUIRE(engine.complete() == CallEnd::Broken);
@@ -200,7 +201,7 @@
     REQUIRE(engine.requests[1].body == R"({"id":"q1"})");
 }
 
-TEST_CASE("a plain service gets the caller's call with the ids of request and try")
+TEST_CASE("a plain service gets the caller's request with the ids of request and attempt")
 {
     Engine service;
     service.answer = [](const Exchange &exchange) {
@@ -230,7 +231,7 @@
     REQUIRE(headerValue(service.requests[0].headers, "idempotency-key") == "k");
 }
 
-TEST_CASE("events are found however their bytes are cut")
+TEST_CASE("events are parsed regardless of how their bytes are split")
 {
     const std::string text = "data: one\n\n: comment\n\nevent: x\r\ndata: two\r\ndata:more\r\n\r\ndata: [DONE]\n\n";
     for (std::size_t size = 1; size < text.size(); ++size) {
@@ -245,7 +246,7 @@
     }
 }
 
-TEST_CASE("an event that never ends is given up")
+TEST_CASE("an event that exceeds the size limit makes the stream malformed")
 {
     EventStreamReader reader(nullptr, 1000);
     reader.feed("data: " + std::string(2000, 'x'));
--- a/tests/unit_operator.cpp
+++ b/tests/unit_operator.cpp
@@ -31,13 +31,13 @@
         .value;
 }
 
-/// An entry's loop with hooks that the tests set, the server, and a client that calls it from another thread.
+/// An event loop with hooks that the tests control, the operators' server, and a client that calls it from another thread.
 struct ServerFixture {
     EventLoop loop;
     AdoptedDeclarations current;
     SystemStatus status;
     std::vector<DeclarationsChange> applied;
-    std::function<void(const ChangeAnswer &)> waiting; ///< of the last change, if `answerAtOnce` is false
+    std::function<void(const ChangeAnswer &)> waiting; ///< answers the last change, if `answerAtOnce` is false
     bool answerAtOnce = true;
     std::unique_ptr<OperatorServer> server;
     std::unique_ptr<Proto::Operators::Stub> stub;
@@ -86,7 +86,7 @@
         auto result = std::async(std::launch::async, [&] {
             auto outcome = call();
             done = true;
-            loop.post([] {}); // the loop looks at its condition after events only
+            loop.post([] {}); // runUntil() checks its condition only after an event
             return outcome;
         });
         REQUIRE(loop.runUntil([&] { return done.load(); }, Limit));
@@ -104,7 +104,7 @@
     }
 };
 
-/// Of an operator with these files.
+/// Client credentials of an operator with these files.
 auto tlsCredentials(const TlsFiles &files) -> std::shared_ptr<grpc::ChannelCredentials>
 {
     const auto read = [](const std::string &path) {
@@ -124,7 +124,7 @@
 
 } // namespace
 
-TEST_CASE("a set survives the way through the schema, with its places")
+TEST_CASE("a set converted to messages and back is unchanged, including its source locations")
 {
     const auto set = smallSet();
     const auto back = fromProto(toProto(set));
@@ -149,8 +149,7 @@
 
 TEST_CASE("a request with a field that the entry doesn't know is refused whole")
 {
-    // A newer tool sends a field that this entry was built without. Passed over, the change would be accepted without the part that
-    // the operator added, and nobody would notice.
+    // A newer tool sends a field that this entry doesn't know. If the field were ignored, the change would be accepted without it.
     ServerFixture fixture;
     auto request = applyRequest();
     auto *service = request.mutable_set()->mutable_services(0);
@@ -162,7 +161,7 @@
     REQUIRE(fixture.applied.empty());
 }
 
-TEST_CASE("a value that the entry doesn't know is refused as well")
+TEST_CASE("a request with an enumeration value that the entry doesn't know is refused")
 {
     ServerFixture fixture;
     auto request = applyRequest();
@@ -172,7 +171,7 @@
     REQUIRE(fixture.applied.empty());
 }
 
-TEST_CASE("a name that stands twice in a request is a finding, with its place")
+TEST_CASE("a duplicate name in a request is a finding with its source location")
 {
     ServerFixture fixture;
     auto request = applyRequest();
@@ -187,7 +186,7 @@
     REQUIRE(fixture.applied.empty());
 }
 
-TEST_CASE("one entity alone is merged into the set that its author saw")
+TEST_CASE("a change of one entity is merged into the set that it is based on")
 {
     ServerFixture fixture;
     fixture.current = {Revision(7), smallSet()};
@@ -211,7 +210,7 @@
     REQUIRE(reply.revision() == 7);
 }
 
-TEST_CASE("get, drain and explain answer what the entry says")
+TEST_CASE("get, drain and explain return the entry's answers")
 {
     ServerFixture fixture;
     fixture.current = {Revision(7), smallSet()};
@@ -255,8 +254,8 @@
 
 TEST_CASE("an entry that stops ends the calls that wait for the store")
 {
-    // An entry is stopped while a change waits for the store's answer. Were the call kept open, the entry's planned stop would hang on
-    // it; answered as refused, the operator would be told a thing that nobody knows.
+    // An entry is stopped while a change waits for the store's answer. If the call stayed open, the planned stop would hang. It must not be
+    // answered as refused either, since the change may have been applied.
     ServerFixture fixture;
     fixture.answerAtOnce = false;
     auto result = std::async(std::launch::async, [&] {
@@ -270,9 +269,9 @@
     fixture.waiting({.outcome = ChangeOutcome::Accepted, .revision = Revision(8), .findings = {}, .message = ""});
 }
 
-TEST_CASE("with TLS only operators whose certificate the authority signed get through")
+TEST_CASE("with TLS only operators whose certificate the authority signed are accepted")
 {
-    // The operators' port can be reached from other hosts. Whoever gets through can remove every service.
+    // The operators' port is reachable from other hosts, and a client that is accepted can remove every service.
     TestAuthority authority;
     TestAuthority stranger;
     ServerFixture fixture(authority.issue("entry"));
--- a/tests/unit_platform.cpp
+++ b/tests/unit_platform.cpp
@@ -13,7 +13,7 @@
 constexpr auto Limit = Duration::seconds(20);
 using Exchange = std::shared_ptr<HttpExchange>;
 
-/// A platform whose answers the test writes, and a client of it.
+/// A fake platform whose answers the test defines, and a client of it.
 struct Platform {
     EventLoop loop;
     std::vector<std::string> requests; ///< "METHOD path?query body"
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("a transaction says what was written and its verdict comes back")
+TEST_CASE("a transaction sends its operations and returns the outcome")
 {
     Platform platform;
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
@@ -83,10 +83,10 @@
     REQUIRE(conflict.conflicts.at(0).second == RowVersion(9));
 }
 
-TEST_CASE("a refused transaction is told apart from a lost one")
+TEST_CASE("a refused transaction is distinguished from a lost one")
 {
-    // The answer of a write may be lost after its effect. Taking that for "not written" runs a debit twice; taking a refusal for
-    // "unknown" leaves a clerk without an answer for nothing.
+    // A write may take effect although its answer is lost. If that were treated as refused, a debit would run twice. If a refusal were
+    // treated as lost, a caller would needlessly be left without an answer.
     Platform platform;
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
     platform.always(429, R"({"code":"throttled","retryAfterMs":10})");
@@ -111,7 +111,7 @@
     REQUIRE(platform.transact(*table).outcome == TransactOutcome::Lost);
 }
 
-TEST_CASE("an answer that makes no sense counts as lost")
+TEST_CASE("a transaction with an invalid answer counts as lost")
 {
     Platform platform;
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
@@ -123,7 +123,7 @@
     REQUIRE(platform.transact(*table).outcome == TransactOutcome::Lost);
 }
 
-TEST_CASE("a transaction to nobody is certainly not done")
+TEST_CASE("a transaction without a connection counts as refused")
 {
     Platform platform;
     auto options = platform.options();
@@ -132,7 +132,7 @@
     REQUIRE(platform.transact(*table).outcome == TransactOutcome::Refused);
 }
 
-TEST_CASE("a read is tried again until it is answered, or its deadline has passed")
+TEST_CASE("a read is retried until it is answered or its deadline has passed")
 {
     Platform platform;
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
@@ -154,7 +154,7 @@
     REQUIRE(failed.error().code == ErrorCode::Unavailable);
 }
 
-TEST_CASE("a scan's texts are encoded and its page says whether there is more")
+TEST_CASE("a scan encodes its query, and its page says whether there are more rows")
 {
     Platform platform;
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
@@ -170,9 +170,10 @@
     REQUIRE(platform.requests.at(0) == "GET /table/scan?prefix=a/&after=a/0%20%26&limit=10 ");
 }
 
-TEST_CASE("a dead store is left alone after a few failures, and found again")
+TEST_CASE("the breaker opens after a few failures and closes once the service answers again")
 {
-    // With the store down for an hour, every request that must run once would wait out the store's timeout before its caller is told.
+    // Without the breaker, while the table service is down, every request that must run once would wait for the full timeout before its
+    // caller gets an answer.
     Platform platform;
     const auto table = makeTableClient(platform.loop, platform.client, platform.options());
     platform.answer = [](const Exchange &exchange) {
@@ -206,7 +207,7 @@
     REQUIRE(platform.requests.size() == 10);
 }
 
-TEST_CASE("calls over the limit are refused at once")
+TEST_CASE("calls above the limit of calls in flight are refused at once")
 {
     Platform platform;
     auto options = platform.options();
@@ -224,7 +225,7 @@
     REQUIRE(platform.loop.runUntil([&] { return ends[TransactOutcome::Lost] == 2; }, Limit));
 }
 
-TEST_CASE("objects are put on a condition and read with their tag")
+TEST_CASE("objects are written conditionally, and a missing one is an error")
 {
     Platform platform;
     const auto objects = makeObjectClient(platform.loop, platform.client, platform.options());
@@ -252,9 +253,9 @@
     REQUIRE(platform.loop.runUntil([&] { return missing; }, Limit));
 }
 
-TEST_CASE("the host list is handed on, and nonsense is not taken for an empty list")
+TEST_CASE("the host list is passed on, and a malformed one is ignored")
 {
-    // A proxy's error page in place of the list must not look as if all hosts had gone.
+    // If a proxy's error page were read as an empty list, all hosts would seem to be gone.
     Platform platform;
     platform.always(200, R"({"hosts":[{"id":"r1","role":"agent","zone":"dha","address":"127.0.0.1:9103","state":"leaving"},{"id":"","address":"x"}]})");
     int lists = 0;
--- a/tests/unit_settings.cpp
+++ b/tests/unit_settings.cpp
@@ -48,17 +48,17 @@
     REQUIRE(parsed.value.sections[2].values[0].value == "x = y");
 }
 
-TEST_CASE("a syntax error hides no other one")
+TEST_CASE("all syntax errors of a file are reported together")
 {
-    // An operator's editor garbled several lines. Were only the first one named, each mend would show the next error.
+    // If only the first error were reported, an operator would find the next one only after correcting it.
     const auto parsed = parseIni("a.ini", "stray = 1\n[one\n[two]\nnonsense\na = 1\na = 2\n[two]\nlong = " + std::string(400, 'x') + "\n= 3\n");
     REQUIRE(lines(parsed.findings) == std::vector {1, 2, 4, 6, 7, 8, 9});
     REQUIRE(toString(parsed.findings[3]) == "a.ini:6: key 'a' stands twice, first in line 5");
 }
 
-TEST_CASE("a section name that the parser would cut is a finding")
+TEST_CASE("a section name that the parser would truncate is a finding")
 {
-    // inih cuts long section names without a word: two models could silently become one.
+    // inih truncates long section names silently, so that two models with a common prefix could become one.
     const auto name = std::string(80, 'm');
     REQUIRE(lines(parseIni("a.ini", "[" + name + "]\n").findings) == std::vector {1});
 }
@@ -84,7 +84,7 @@
     REQUIRE(toString(settings.findings[2]) == "entry.ini:15: unknown key 'max-qeue' in [limits]");
 }
 
-TEST_CASE("keys that a role needs are asked for")
+TEST_CASE("missing keys that a role requires are findings")
 {
     const auto settings = parseDaemonSettings("agent.ini", "[process]\nrole = agent\nid = runner-1\nzone = dha\n");
     REQUIRE(settings.findings.size() == 5);
@@ -99,7 +99,7 @@
 
 TEST_CASE("a TLS file that can't be read is found before the process serves anyone")
 {
-    // A path is mistyped. Found only at the first handshake, every caller would be turned away by a process that says it is well.
+    // If a mistyped path were found only at the first handshake, the process would report itself healthy and refuse every caller.
     std::string path = std::filesystem::temp_directory_path() / "kingcup-settings-XXXXXX";
     close(mkstemp(path.data()));
     std::ofstream(path) << EntryText << "[tls]\ncallers = true\ncertificate = " << path << "\nkey = /nowhere/key.pem\n";
@@ -109,9 +109,9 @@
     REQUIRE(settings.findings[0].message == "file '/nowhere/key.pem' named in [tls] can't be read");
 }
 
-TEST_CASE("the commented file says what the table says")
+TEST_CASE("the commented settings file has all keys of the table")
 {
-    // An operator starts from the printed file and adds only what has no default; it must be accepted as it is.
+    // An operator starts from the printed file and sets only the keys without a default, so the rest of it must be valid.
     const auto settings = parseDaemonSettings("printed.ini", commentedSettings());
     REQUIRE(settings.findings.size() == 1);
     REQUIRE(settings.findings[0].message == "key 'role' in [process] is missing");
@@ -122,6 +122,6 @@
 
 TEST_CASE("docs/SETTINGS.md is current")
 {
-    // kingcupd --print-settings-page > docs/SETTINGS.md
+    // To update the page: kingcupd --print-settings-page > docs/SETTINGS.md
     REQUIRE(readTextFile(std::string(KINGCUP_SOURCE) + "/docs/SETTINGS.md") == settingsPage());
 }
