--- a/src/settings/declarationfile.cpp
+++ b/src/settings/declarationfile.cpp
@@ -38,7 +38,7 @@
     /// Calls `store` with the text of `key` if the section has that key. `store` returns an error message, empty if the text is valid.
     auto text(const std::string &key, const std::function<std::string(const std::string &)> &store) -> SectionReader &
     {
-        m_known.push_back(key);
+        m_readKeys.push_back(key);
         for (const auto &value : m_section.values) {
             if (value.key != key) {
                 continue;
@@ -109,7 +109,7 @@
     auto rejectUnknownKeys() -> void
     {
         for (const auto &value : m_section.values) {
-            if (std::find(m_known.begin(), m_known.end(), value.key) == m_known.end()) {
+            if (std::find(m_readKeys.begin(), m_readKeys.end(), value.key) == m_readKeys.end()) {
                 addFinding(value.line, "unknown key '" + value.key + "' in [" + m_section.name + "]");
             }
         }
@@ -124,7 +124,7 @@
     const IniFile &m_file;
     const IniSection &m_section;
     Findings &m_findings;
-    std::vector<std::string> m_known;
+    std::vector<std::string> m_readKeys;
 };
 
 /// Parses a list such as "POST /debits, PUT /extensions". Returns an error message, empty if the text is valid.
@@ -335,8 +335,8 @@
         reader.read(file.value);
     }
     reader.link();
-    const auto whole = checkDeclarations(result.value);
-    result.findings.insert(result.findings.end(), whole.begin(), whole.end());
+    const auto setFindings = checkDeclarations(result.value);
+    result.findings.insert(result.findings.end(), setFindings.begin(), setFindings.end());
     sortByPlace(result.findings);
     return result;
 }
--- a/src/settings/inifile.cpp
+++ b/src/settings/inifile.cpp
@@ -44,10 +44,10 @@
             m_isHeading = true;
             m_pending.insert(m_pending.begin(), SectionMarker);
         }
-        const int faulty = ini_parse_stream(&LineParser::read, this, &LineParser::handle, this);
+        const int errorLine = ini_parse_stream(&LineParser::read, this, &LineParser::handle, this);
         if (m_tooLong) {
             addFinding("line is too long");
-        } else if (faulty != 0) {
+        } else if (errorLine != 0) {
             addFinding(m_isHeading ? "section heading without closing bracket" : "neither a section, a key with a value, nor a comment");
         } else if (m_isNameless) {
             addFinding("section without a name");
@@ -93,9 +93,9 @@
             addFinding("section name is too long");
             return;
         }
-        const auto same = std::find_if(m_file.sections.begin(), m_file.sections.end(), [&](const IniSection &known) { return known.name == name; });
-        if (same != m_file.sections.end()) {
-            addFinding("section [" + name + "] stands twice, first in line " + std::to_string(same->line));
+        const auto duplicate = std::find_if(m_file.sections.begin(), m_file.sections.end(), [&](const IniSection &known) { return known.name == name; });
+        if (duplicate != m_file.sections.end()) {
+            addFinding("section [" + name + "] stands twice, first in line " + std::to_string(duplicate->line));
         }
         m_file.sections.push_back({name, m_number, {}});
     }
@@ -111,9 +111,9 @@
             return;
         }
         auto &values = m_file.sections.back().values;
-        const auto same = std::find_if(values.begin(), values.end(), [&](const IniValue &known) { return known.key == key; });
-        if (same != values.end()) {
-            addFinding("key '" + key + "' stands twice, first in line " + std::to_string(same->line));
+        const auto duplicate = std::find_if(values.begin(), values.end(), [&](const IniValue &known) { return known.key == key; });
+        if (duplicate != values.end()) {
+            addFinding("key '" + key + "' stands twice, first in line " + std::to_string(duplicate->line));
             return;
         }
         values.push_back({key, value, m_number});
--- a/src/settings/valueparsers.cpp
+++ b/src/settings/valueparsers.cpp
@@ -27,7 +27,7 @@
     return parsed;
 }
 
-auto isIpNumber(const std::string &text) -> bool
+auto isIpAddress(const std::string &text) -> bool
 {
     in6_addr buffer {};
     return inet_pton(AF_INET, text.c_str(), &buffer) == 1 || inet_pton(AF_INET6, text.c_str(), &buffer) == 1;
@@ -63,7 +63,7 @@
 auto parseEndpoint(const std::string &text) -> ParsedValue<Endpoint>
 {
     ParsedValue<Endpoint> parsed {endpointFromString(text), {}};
-    if (parsed.value.port == 0 || !isIpNumber(parsed.value.address)) {
+    if (parsed.value.port == 0 || !isIpAddress(parsed.value.address)) {
         parsed.error = "'" + text + "' is not IP:PORT";
     }
     return parsed;
--- a/tests/unit_operator.cpp
+++ b/tests/unit_operator.cpp
@@ -175,10 +175,10 @@
 {
     ServerFixture fixture;
     auto request = applyRequest();
-    auto *twin = request.mutable_set()->add_models();
-    *twin = request.set().models(0);
-    twin->mutable_place()->set_file("other.ini");
-    twin->mutable_place()->set_line(4);
+    auto *duplicate = request.mutable_set()->add_models();
+    *duplicate = request.set().models(0);
+    duplicate->mutable_place()->set_file("other.ini");
+    duplicate->mutable_place()->set_line(4);
     Proto::ChangeReply reply;
     REQUIRE(fixture.call(&Proto::Operators::Stub::Apply, request, reply).ok());
     REQUIRE(reply.outcome() == Proto::CHANGE_OUTCOME_REFUSED);
@@ -273,7 +273,7 @@
 {
     // The operators' port is reachable from other hosts, and a client that is accepted can remove every service.
     TestAuthority authority;
-    TestAuthority stranger;
+    TestAuthority otherAuthority;
     ServerFixture fixture(authority.issue("entry"));
     Proto::GetReply reply;
     const auto plain = fixture.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply);
@@ -286,9 +286,9 @@
     fixture.connect(tlsCredentials({"", "", files.authority}));
     REQUIRE(fixture.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply).error_code() == grpc::StatusCode::UNAVAILABLE);
 
-    auto strange = stranger.issue("operator");
-    strange.authority = files.authority;
-    fixture.connect(tlsCredentials(strange));
+    auto untrusted = otherAuthority.issue("operator");
+    untrusted.authority = files.authority;
+    fixture.connect(tlsCredentials(untrusted));
     REQUIRE(fixture.call(&Proto::Operators::Stub::Get, Proto::GetRequest(), reply).error_code() == grpc::StatusCode::UNAVAILABLE);
 }
 
