--- a/src/engine/serviceclient.h
+++ b/src/engine/serviceclient.h
@@ -1,4 +1,5 @@
-// The client of a plain service. It forwards a caller's request unchanged, with added headers for the request and attempt ids.
+// The client of a plain service. It forwards a caller's request unchanged and adds the request id and the attempt id, which
+// distinguishes the attempts of one request.
 #pragma once
 
 #include "core/ids.h"
--- a/src/kingcupctl/connection.cpp
+++ b/src/kingcupctl/connection.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// An entry whose host is down doesn't answer at all; the next one is tried after this time.
+// Time limit of an attempt. An entry whose host is down doesn't answer at all, so the next one is tried after this time.
 constexpr auto AttemptTimeout = std::chrono::seconds(10);
 constexpr int MaxReplyBytes = 64 << 20; ///< bytes
 
--- a/src/kingcupctl/connection.h
+++ b/src/kingcupctl/connection.h
@@ -19,7 +19,7 @@
     explicit Connection(const Arguments &arguments);
     ~Connection();
 
-    /// Calls the first entry that can be reached, starting with the one that answered last. Each attempt has a time limit of 10 seconds.
+    /// Calls the first entry that can be reached, starting with the one that answered last. Each attempt has a time limit.
     template<typename Request, typename Reply>
     auto call(grpc::Status (OperatorStub::*method)(grpc::ClientContext *, const Request &, Reply *), const Request &request, Reply &reply) -> grpc::Status
     {
--- a/src/settings/daemonsettings.h
+++ b/src/settings/daemonsettings.h
@@ -1,4 +1,5 @@
-// Settings of kingcupd: one INI file per process, read once at the start.
+// Settings of kingcupd: one INI file per process, read at the start. A running gateway also applies later changes of [gateway] and of
+// the store's endpoint.
 //
 // The table in daemonsettings.cpp defines each key's type, unit, range and default. `--print-settings`, docs/SETTINGS.md
 // and the validation of settings files are all generated from it.
@@ -64,7 +65,7 @@
     int loadWindowSeconds = 0; ///< window over which loads from the weight store are counted
     double loadOvershoot = 0; ///< factor on the loads that the weight store allows in that window
     double processorShare = 0; ///< cores of the host that are reserved for this process
-    Duration revocationLimit; ///< until a revoked key is rejected by every gateway, even one cut off from the store; 0: no limit for those
+    Duration revocationLimit; ///< time within which every gateway rejects a revoked key, even one cut off from the store; 0: no limit for those
 
     auto operator==(const GatewaySettings &) const -> bool = default;
 };
@@ -83,7 +84,7 @@
 };
 
 struct LimitSettings {
-    std::size_t maxBody = 0; ///< bytes of a caller's request
+    std::size_t maxBody = 0; ///< bytes of a caller's request body
     int maxConnections = 0; ///< concurrent connections of callers
     int maxQueue = 0; ///< requests waiting in one entry
     std::size_t streamBuffer = 0; ///< bytes buffered for one stream before backpressure is applied to its source
