--- a/tests/rawcaller.h
+++ b/tests/rawcaller.h
@@ -1,4 +1,4 @@
-// A caller that sends raw bytes, for requests that no correct client would send. Runs blocking in a thread of its own.
+// A caller that sends raw bytes, for requests that no correct client would send. It uses blocking calls in a thread of its own.
 #pragma once
 
 #include <arpa/inet.h>
