--- a/fakes/answers.cpp
+++ b/fakes/answers.cpp
@@ -43,7 +43,7 @@
     answerJson(exchange, status, {{"code", code}, {"retryAfterMs", retryAfter.inMillis()}});
 }
 
-auto bodyOf(const ExchangePtr &exchange) -> std::optional<Json>
+auto parseJsonBody(const ExchangePtr &exchange) -> std::optional<Json>
 {
     auto body = Json::parse(exchange->request().body, nullptr, false);
     if (!body.is_object()) {
--- a/fakes/answers.h
+++ b/fakes/answers.h
@@ -34,7 +34,7 @@
 /// 429 or 503 with a hint when to come back: certainly without effect.
 auto answerRetry(const ExchangePtr &exchange, int status, const std::string &code, Duration retryAfter) -> void;
 /// The body as a JSON object; answers 400 by itself and returns nothing if it isn't one.
-auto bodyOf(const ExchangePtr &exchange) -> std::optional<Json>;
+auto parseJsonBody(const ExchangePtr &exchange) -> std::optional<Json>;
 /// Wraps a handler so that values of an unexpected type in a body are answered with 400 and don't end the process.
 auto guarded(HttpServer::Handler handler) -> HttpServer::Handler;
 /// A value of the query, percent-decoded; empty if absent.
--- a/fakes/engine.cpp
+++ b/fakes/engine.cpp
@@ -97,10 +97,10 @@
     : m_clock(clock)
     , m_weights(weights)
     , m_settings(std::move(settings))
-    , m_memory(m_settings.memory, static_cast<std::int64_t>(static_cast<double>(m_settings.memory) * m_settings.kvLeast))
+    , m_memory(m_settings.memory, static_cast<std::int64_t>(static_cast<double>(m_settings.memory) * m_settings.kvReserveShare))
     , m_batch(clock, m_settings.batch, m_settings.events)
 {
-    m_batch.setKvRoom(m_memory.kvRoom());
+    m_batch.setKvCapacity(m_memory.kvCapacity());
     listen();
 }
 
@@ -170,9 +170,9 @@
     m_settings.orderLoseRate = command.value("loseRate", m_settings.orderLoseRate);
     m_settings.orderDropAnswerRate = command.value("dropAnswerRate", m_settings.orderDropAnswerRate);
     m_settings.orderLateRate = command.value("lateRate", m_settings.orderLateRate);
-    m_settings.orderLateMost = Duration::millis(command.value("lateMostMs", m_settings.orderLateMost.inMillis()));
+    m_settings.maxLateOrderDelay = Duration::millis(command.value("lateMostMs", m_settings.maxLateOrderDelay.inMillis()));
     if (command.contains("restartMs")) {
-        m_settings.restart = Duration::millis(command["restartMs"].get<std::int64_t>());
+        m_settings.restartDelay = Duration::millis(command["restartMs"].get<std::int64_t>());
     }
     if (command.contains("slow")) {
         m_batch.setSlowdown(command["slow"].get<double>());
@@ -196,7 +196,7 @@
     m_fence = 0;
     // The crash may come from within a callback of this very server.
     m_clock.loop().post([this] { m_server.reset(); });
-    m_clock.after(m_settings.restart, [this] { listen(); });
+    m_clock.after(m_settings.restartDelay, [this] { listen(); });
 }
 
 auto Engine::handle(const ExchangePtr &exchange) -> void
@@ -235,30 +235,30 @@
 /// An order travels for a while; it may be lost, or come late, or its answer may be lost. It dies with this life of the engine.
 auto Engine::handleOrder(const ExchangePtr &exchange) -> void
 {
-    const auto order = bodyOf(exchange);
+    const auto order = parseJsonBody(exchange);
     if (!order) {
         return;
     }
     if (m_clock.random() < m_settings.orderLoseRate) {
         ++m_ordersLost;
-        m_clock.after(m_settings.orderLateMost, [exchange] { exchange->abort(); });
+        m_clock.after(m_settings.maxLateOrderDelay, [exchange] { exchange->abort(); });
         return;
     }
-    auto delay = m_clock.randomDuration(m_settings.orderLeast, m_settings.orderMost);
+    auto delay = m_clock.randomDuration(m_settings.minOrderDelay, m_settings.maxOrderDelay);
     if (m_clock.random() < m_settings.orderLateRate) {
         ++m_ordersLate;
-        delay = m_clock.randomDuration(m_settings.orderMost, m_settings.orderLateMost);
+        delay = m_clock.randomDuration(m_settings.maxOrderDelay, m_settings.maxLateOrderDelay);
     }
     const bool dropsAnswer = m_clock.random() < m_settings.orderDropAnswerRate;
     m_ordersUnanswered += dropsAnswer ? 1 : 0;
-    const auto heard = dropsAnswer ? std::make_shared<HttpExchange>(exchange->request()) : exchange;
-    m_clock.after(delay, [this, order = *order, exchange, heard, generation = m_generation] {
+    const auto answerExchange = dropsAnswer ? std::make_shared<HttpExchange>(exchange->request()) : exchange;
+    m_clock.after(delay, [this, order = *order, exchange, answerExchange, generation = m_generation] {
         if (generation != m_generation || m_down) {
             exchange->abort();
             return;
         }
-        guarded([&](const ExchangePtr &to) { applyOrder(order, to); })(heard);
-        if (heard != exchange) {
+        guarded([&](const ExchangePtr &to) { applyOrder(order, to); })(answerExchange);
+        if (answerExchange != exchange) {
             exchange->abort();
         }
     });
@@ -308,7 +308,7 @@
         m_memory.finishLoad(charge);
         m_loads.erase(charge);
         ++m_loadsDone;
-        m_batch.setKvRoom(m_memory.kvRoom());
+        m_batch.setKvCapacity(m_memory.kvCapacity());
     });
     if (!load) {
         answerRetry(exchange, Status::TooManyRequests, "throttled", Duration::millis(500));
@@ -324,12 +324,12 @@
         crash("overcommitted by " + artifact);
         return;
     }
-    m_batch.setKvRoom(m_memory.kvRoom());
+    m_batch.setKvCapacity(m_memory.kvCapacity());
 }
 
 auto Engine::applyUnload(const Json &order, const ExchangePtr &exchange) -> void
 {
-    auto artifacts = m_memory.residentOn(order.value("artifact", std::string()));
+    auto artifacts = m_memory.residentAdapters(order.value("artifact", std::string()));
     artifacts.push_back(order.value("artifact", std::string()));
     if (std::any_of(artifacts.begin(), artifacts.end(), [this](const auto &artifact) { return m_batch.isRunning(artifact); })) {
         answerCode(exchange, Status::Conflict, "busy");
@@ -339,13 +339,13 @@
         m_unloads += m_memory.isResident(artifact) ? 1 : 0;
         m_memory.unload(artifact);
     }
-    m_batch.setKvRoom(m_memory.kvRoom());
+    m_batch.setKvCapacity(m_memory.kvCapacity());
     answerJson(exchange, Status::Accepted, {{"id", order.value("id", std::string())}});
 }
 
 auto Engine::handleFence(const ExchangePtr &exchange) -> void
 {
-    const auto body = bodyOf(exchange);
+    const auto body = parseJsonBody(exchange);
     if (!body) {
         return;
     }
@@ -383,11 +383,11 @@
     }
 }
 
-/// A report is published every `reportEvery` and describes the state `reportLag` before that.
+/// A report is published every `reportPeriod` and describes the state `reportLag` before that.
 auto Engine::handleLoad(const ExchangePtr &exchange) -> void
 {
     const auto now = m_clock.now();
-    const auto period = m_settings.reportEvery.inMicros();
+    const auto period = m_settings.reportPeriod.inMicros();
     const auto published = Duration::micros(now.inMicros() / period * period);
     const auto described = published - m_settings.reportLag;
     Report report;
@@ -409,7 +409,7 @@
 
 auto Engine::handleCompletion(const ExchangePtr &exchange, bool chat) -> void
 {
-    const auto body = bodyOf(exchange);
+    const auto body = parseJsonBody(exchange);
     if (!body) {
         return;
     }
@@ -449,7 +449,7 @@
     stream->priority = static_cast<int>(numberOr(headerValue(headers, "x-priority"), 1));
     stream->outputTokens = answer->outputTokens;
     stream->produced = answer->firstIndex;
-    stream->mayCrash = answer->prompt.find("crash-me") != std::string::npos;
+    stream->crashesEngine = answer->prompt.find("crash-me") != std::string::npos;
     stream->onToken = [this, answer, requestId](int index) {
         ++m_completions[requestId].tokens;
         answer->addToken(index);
@@ -466,7 +466,7 @@
     stream->onCrash = [this, requestId] {
         crash("request " + requestId);
     };
-    stream->isHeldBack = [exchange] {
+    stream->isBackpressured = [exchange] {
         return exchange->pendingBytes() > SlowReaderBytes;
     };
     exchange->onClosed = [this, weak = std::weak_ptr<Stream>(stream)] {
@@ -481,7 +481,7 @@
 
 auto Engine::handleCancel(const ExchangePtr &exchange) -> void
 {
-    const auto body = bodyOf(exchange);
+    const auto body = parseJsonBody(exchange);
     if (!body) {
         return;
     }
@@ -492,7 +492,7 @@
 
 auto Engine::handleKv(const ExchangePtr &exchange, bool isImport) -> void
 {
-    const auto body = bodyOf(exchange);
+    const auto body = parseJsonBody(exchange);
     if (!body) {
         return;
     }
--- a/fakes/engine.h
+++ b/fakes/engine.h
@@ -19,16 +19,16 @@
     std::string id;
     int port = 0;
     std::int64_t memory = 80000000000; ///< bytes
-    double kvLeast = 0.15; ///< share of the memory that weights may never take
+    double kvReserveShare = 0.15; ///< share of the memory that weights may never take
     bool checksFence = true;
-    Duration restart = Duration::seconds(15); ///< from a crash until it answers again
-    Duration orderLeast = Duration::millis(5); ///< until an order is answered and its effect begins
-    Duration orderMost = Duration::millis(50);
+    Duration restartDelay = Duration::seconds(15); ///< from a crash until it answers again
+    Duration minOrderDelay = Duration::millis(5); ///< until an order is answered and its effect begins
+    Duration maxOrderDelay = Duration::millis(50);
     double orderLoseRate = 0; ///< orders that vanish: neither effect nor answer
     double orderDropAnswerRate = 0; ///< orders that take effect, but whose answer is lost
     double orderLateRate = 0;
-    Duration orderLateMost = Duration::seconds(10);
-    Duration reportEvery = Duration::millis(500);
+    Duration maxLateOrderDelay = Duration::seconds(10);
+    Duration reportPeriod = Duration::millis(500);
     Duration reportLag = Duration::millis(300);
     BatchSettings batch;
     CacheEventSettings events;
--- a/fakes/enginebatch.cpp
+++ b/fakes/enginebatch.cpp
@@ -57,10 +57,10 @@
     m_step = m_settings.stepBase;
 }
 
-auto EngineBatch::setKvRoom(std::int64_t bytes) -> void
+auto EngineBatch::setKvCapacity(std::int64_t bytes) -> void
 {
-    m_kvRoom = bytes;
-    const auto left = std::max<std::int64_t>(0, m_kvRoom - kvOfStreams());
+    m_kvCapacity = bytes;
+    const auto left = std::max<std::int64_t>(0, m_kvCapacity - kvOfStreams());
     m_cache.shrinkTo(static_cast<std::size_t>(left / (m_settings.kvBytesPerToken * static_cast<std::int64_t>(BlockChars / CharsPerToken))));
 }
 
@@ -144,7 +144,7 @@
     while (!m_waiting.empty() && m_running.size() < static_cast<std::size_t>(m_settings.maxStreams)) {
         const auto stream = m_waiting.front();
         const auto needed = stream->kvTokens * m_settings.kvBytesPerToken;
-        if (!m_running.empty() && kvOfStreams() + needed > m_kvRoom) {
+        if (!m_running.empty() && kvOfStreams() + needed > m_kvCapacity) {
             return;
         }
         m_waiting.pop_front();
@@ -154,7 +154,7 @@
         stream->prefillLeft = std::max<std::int64_t>(1, wanted - hits);
         m_cachedTokens += static_cast<std::uint64_t>(hits);
         m_running.push_back(stream);
-        setKvRoom(m_kvRoom);
+        setKvCapacity(m_kvCapacity);
     }
 }
 
@@ -173,7 +173,7 @@
             m_cache.store(prefixHashes(stream->artifact, stream->prompt));
         }
     }
-    setKvRoom(m_kvRoom);
+    setKvCapacity(m_kvCapacity);
     m_prefilled += static_cast<std::uint64_t>(used);
     return used;
 }
@@ -201,10 +201,10 @@
 {
     const std::vector<StreamPtr> streams(m_running.begin(), m_running.end());
     for (const auto &stream : streams) {
-        if (stream->prefillLeft > 0 || stream->isHeldBack()) {
+        if (stream->prefillLeft > 0 || stream->isBackpressured()) {
             continue;
         }
-        if (stream->mayCrash) {
+        if (stream->crashesEngine) {
             stream->onCrash();
             return;
         }
--- a/fakes/enginebatch.h
+++ b/fakes/enginebatch.h
@@ -35,13 +35,13 @@
     int produced = 0; ///< starts at the offset of a resumed stream
     std::int64_t prefillLeft = 0; ///< tokens
     std::int64_t kvTokens = 0; ///< room taken for prompt and output
-    bool mayCrash = false; ///< the prompt carries the marker that crashes its engine
+    bool crashesEngine = false; ///< the prompt carries the marker that crashes its engine
 
     std::function<void(int index)> onToken;
     std::function<void()> onDone;
     std::function<void()> onCancelled; ///< by its id
     std::function<void()> onCrash; ///< the marker's effect
-    std::function<bool()> isHeldBack; ///< the reader is slow: no token for now
+    std::function<bool()> isBackpressured; ///< the reader is slow: no token for now
 };
 using StreamPtr = std::shared_ptr<Stream>;
 
@@ -54,7 +54,7 @@
     auto remove(const std::string &requestId) -> bool;
     auto remove(const StreamPtr &stream) -> void;
     auto clear() -> void; ///< forgets all streams and the cache
-    auto setKvRoom(std::int64_t bytes) -> void;
+    auto setKvCapacity(std::int64_t bytes) -> void;
     auto setSlowdown(double factor) -> void;
 
     auto running() const -> std::size_t;
@@ -80,7 +80,7 @@
     PrefixCache m_cache;
     std::list<StreamPtr> m_waiting; // by priority, then arrival
     std::list<StreamPtr> m_running;
-    std::int64_t m_kvRoom = 0;
+    std::int64_t m_kvCapacity = 0;
     double m_slowdown = 1.0;
     Duration m_step;
     Timer m_stepTimer;
--- a/fakes/enginememory.cpp
+++ b/fakes/enginememory.cpp
@@ -5,9 +5,9 @@
 namespace KingCup
 {
 
-EngineMemory::EngineMemory(std::int64_t total, std::int64_t kvLeast)
+EngineMemory::EngineMemory(std::int64_t total, std::int64_t kvReserve)
     : m_total(total)
-    , m_kvLeast(kvLeast)
+    , m_kvReserve(kvReserve)
 {
 }
 
@@ -43,7 +43,7 @@
     return m_resident.count(artifact) != 0;
 }
 
-auto EngineMemory::residentOn(const std::string &base) const -> std::vector<std::string>
+auto EngineMemory::residentAdapters(const std::string &base) const -> std::vector<std::string>
 {
     std::vector<std::string> adapters;
     for (const auto &[artifact, charge] : m_resident) {
@@ -71,14 +71,14 @@
     return sum;
 }
 
-auto EngineMemory::kvRoom() const -> std::int64_t
+auto EngineMemory::kvCapacity() const -> std::int64_t
 {
     return std::max<std::int64_t>(0, m_total - used());
 }
 
 auto EngineMemory::isOvercommitted() const -> bool
 {
-    return used() + m_kvLeast > m_total;
+    return used() + m_kvReserve > m_total;
 }
 
 auto EngineMemory::highWater() const -> std::int64_t
--- a/fakes/enginememory.h
+++ b/fakes/enginememory.h
@@ -17,8 +17,8 @@
 class EngineMemory
 {
 public:
-    /// `total` bytes, of which `kvLeast` belong to the KV cache whatever is loaded.
-    EngineMemory(std::int64_t total, std::int64_t kvLeast);
+    /// `total` bytes, of which `kvReserve` belong to the KV cache whatever is loaded.
+    EngineMemory(std::int64_t total, std::int64_t kvReserve);
 
     auto beginLoad(const std::string &order, const std::string &artifact, const std::string &base, std::int64_t bytes) -> void;
     auto finishLoad(const std::string &order) -> void;
@@ -27,10 +27,10 @@
 
     auto isResident(const std::string &artifact) const -> bool;
     /// The adapters on this base: they go when it goes.
-    auto residentOn(const std::string &base) const -> std::vector<std::string>;
+    auto residentAdapters(const std::string &base) const -> std::vector<std::string>;
     auto total() const -> std::int64_t;
     auto used() const -> std::int64_t; ///< weights resident and loading
-    auto kvRoom() const -> std::int64_t; ///< what weights leave
+    auto kvCapacity() const -> std::int64_t; ///< what weights leave
     auto isOvercommitted() const -> bool;
     auto highWater() const -> std::int64_t; ///< the most that used() ever was
     auto residentJson() const -> Json;
@@ -44,7 +44,7 @@
     };
 
     std::int64_t m_total;
-    std::int64_t m_kvLeast;
+    std::int64_t m_kvReserve;
     std::int64_t m_highWater = 0;
     std::map<std::string, Charge> m_resident; // by artifact
     std::map<std::string, Charge> m_loading; // by order
--- a/fakes/fakes.cpp
+++ b/fakes/fakes.cpp
@@ -102,7 +102,7 @@
 auto Fakes::truth() const -> Json
 {
     Json all {{"nowMs", m_clock.now().inMillis()}, {"table", m_table.truth()}, {"objects", m_objects.truth()}, {"links", m_proxy.ports()}};
-    all["weights"] = {{"loads", m_weights.loads()}, {"throttled", m_weights.throttled()}, {"mostAtOnce", m_weights.mostAtOnce()}};
+    all["weights"] = {{"loads", m_weights.loads()}, {"throttled", m_weights.throttled()}, {"mostAtOnce", m_weights.maxConcurrentLoads()}};
     std::uint64_t overcommits = 0;
     std::uint64_t crashes = 0;
     std::uint64_t loads = 0;
@@ -162,7 +162,7 @@
 
 auto Fakes::handleFault(const ExchangePtr &exchange) -> void
 {
-    const auto command = bodyOf(exchange);
+    const auto command = parseJsonBody(exchange);
     if (!command) {
         return;
     }
@@ -235,7 +235,7 @@
 
 auto Fakes::handleHosts(const ExchangePtr &exchange) -> void
 {
-    const auto body = bodyOf(exchange);
+    const auto body = parseJsonBody(exchange);
     if (!body) {
         return;
     }
@@ -252,7 +252,7 @@
 
 auto Fakes::handleLink(const ExchangePtr &exchange) -> void
 {
-    const auto body = bodyOf(exchange);
+    const auto body = parseJsonBody(exchange);
     if (!body) {
         return;
     }
--- a/fakes/fakessettings.cpp
+++ b/fakes/fakessettings.cpp
@@ -23,13 +23,13 @@
     double stepMillis = 12;
     double stepPerStreamMillis = 0.25;
     int restartMillis = 15000;
-    int orderLeastMillis = 5;
-    int orderMostMillis = 50;
-    int orderLateMostMillis = 10000;
+    int minOrderDelayMillis = 5;
+    int maxOrderDelayMillis = 50;
+    int maxLateOrderDelayMillis = 10000;
     int reportMillis = 500;
     int reportLagMillis = 300;
-    int eventLeastMillis = 500;
-    int eventMostMillis = 2000;
+    int minEventDelayMillis = 500;
+    int maxEventDelayMillis = 2000;
     double readMillis = 15;
     double writeMillis = 30;
     double tableMillis = 4;
@@ -40,7 +40,7 @@
 };
 
 template<typename T>
-auto with(T &target) -> Options::typed_value<T> *
+auto withDefault(T &target) -> Options::typed_value<T> *
 {
     return Options::value<T>(&target)->default_value(target);
 }
@@ -50,48 +50,48 @@
     auto &s = raw.settings;
     Options::options_description all("Stand-ins for the platform and the targets. All durations are simulated time");
     auto add = all.add_options();
-    add("base-port", with(s.basePort), "admin port; the others follow (see fakes/README.md); 0: the system chooses all");
-    add("time-scale", with(s.timeScale), "how many times faster than real time");
-    add("seed", with(s.seed), "of all random choices");
-    add("engine.count", with(s.engineCount), "");
-    add("engine.prefix", with(s.enginePrefix), "ids are PREFIX1, PREFIX2, ...");
-    add("engine.fencing", with(s.fencing), "checked, ignored or alternate");
-    add("engine.memory-gb", with(raw.memoryGigabytes), "");
-    add("engine.kv-least", with(s.engine.kvLeast), "share of memory that weights may never take");
-    add("engine.restart-ms", with(raw.restartMillis), "from a crash until it answers again");
-    add("engine.order-least-ms", with(raw.orderLeastMillis), "");
-    add("engine.order-most-ms", with(raw.orderMostMillis), "");
-    add("engine.order-lose-rate", with(s.engine.orderLoseRate), "");
-    add("engine.order-drop-answer-rate", with(s.engine.orderDropAnswerRate), "");
-    add("engine.order-late-rate", with(s.engine.orderLateRate), "");
-    add("engine.order-late-most-ms", with(raw.orderLateMostMillis), "");
-    add("engine.report-ms", with(raw.reportMillis), "");
-    add("engine.report-lag-ms", with(raw.reportLagMillis), "");
-    add("engine.event-least-ms", with(raw.eventLeastMillis), "");
-    add("engine.event-most-ms", with(raw.eventMostMillis), "");
-    add("engine.event-drop-rate", with(s.engine.events.dropRate), "");
-    add("engine.step-ms", with(raw.stepMillis), "");
-    add("engine.step-per-stream-ms", with(raw.stepPerStreamMillis), "");
-    add("engine.max-streams", with(s.engine.batch.maxStreams), "");
-    add("engine.prefill-tokens-per-second", with(s.engine.batch.prefillTokensPerSecond), "");
-    add("engine.prefill-chunk", with(s.engine.batch.prefillChunk), "tokens of prefill beside one decode step");
-    add("engine.kv-bytes-per-token", with(s.engine.batch.kvBytesPerToken), "");
-    add("weights.loads-per-second", with(s.weights.loadsPerSecond), "");
-    add("weights.parallel", with(s.weights.parallelLoads), "loads at once at full speed");
-    add("weights.gb-per-second", with(raw.loadGigabytesPerSecond), "of one load alone");
-    add("table.writes-per-second", with(s.table.writesPerSecond), "");
-    add("table.reads-per-second", with(s.table.readsPerSecond), "");
-    add("table.latency-ms", with(raw.tableMillis), "");
-    add("objects.latency-ms", with(raw.objectMillis), "");
-    add("hosts.lag-ms", with(raw.hostLagMillis), "");
+    add("base-port", withDefault(s.basePort), "admin port; the others follow (see fakes/README.md); 0: the system chooses all");
+    add("time-scale", withDefault(s.timeScale), "how many times faster than real time");
+    add("seed", withDefault(s.seed), "of all random choices");
+    add("engine.count", withDefault(s.engineCount), "");
+    add("engine.prefix", withDefault(s.enginePrefix), "ids are PREFIX1, PREFIX2, ...");
+    add("engine.fencing", withDefault(s.fencing), "checked, ignored or alternate");
+    add("engine.memory-gb", withDefault(raw.memoryGigabytes), "");
+    add("engine.kv-least", withDefault(s.engine.kvReserveShare), "share of memory that weights may never take");
+    add("engine.restart-ms", withDefault(raw.restartMillis), "from a crash until it answers again");
+    add("engine.order-least-ms", withDefault(raw.minOrderDelayMillis), "");
+    add("engine.order-most-ms", withDefault(raw.maxOrderDelayMillis), "");
+    add("engine.order-lose-rate", withDefault(s.engine.orderLoseRate), "");
+    add("engine.order-drop-answer-rate", withDefault(s.engine.orderDropAnswerRate), "");
+    add("engine.order-late-rate", withDefault(s.engine.orderLateRate), "");
+    add("engine.order-late-most-ms", withDefault(raw.maxLateOrderDelayMillis), "");
+    add("engine.report-ms", withDefault(raw.reportMillis), "");
+    add("engine.report-lag-ms", withDefault(raw.reportLagMillis), "");
+    add("engine.event-least-ms", withDefault(raw.minEventDelayMillis), "");
+    add("engine.event-most-ms", withDefault(raw.maxEventDelayMillis), "");
+    add("engine.event-drop-rate", withDefault(s.engine.events.dropRate), "");
+    add("engine.step-ms", withDefault(raw.stepMillis), "");
+    add("engine.step-per-stream-ms", withDefault(raw.stepPerStreamMillis), "");
+    add("engine.max-streams", withDefault(s.engine.batch.maxStreams), "");
+    add("engine.prefill-tokens-per-second", withDefault(s.engine.batch.prefillTokensPerSecond), "");
+    add("engine.prefill-chunk", withDefault(s.engine.batch.prefillChunk), "tokens of prefill beside one decode step");
+    add("engine.kv-bytes-per-token", withDefault(s.engine.batch.kvBytesPerToken), "");
+    add("weights.loads-per-second", withDefault(s.weights.loadsPerSecond), "");
+    add("weights.parallel", withDefault(s.weights.parallelLoads), "loads at once at full speed");
+    add("weights.gb-per-second", withDefault(raw.loadGigabytesPerSecond), "of one load alone");
+    add("table.writes-per-second", withDefault(s.table.writesPerSecond), "");
+    add("table.reads-per-second", withDefault(s.table.readsPerSecond), "");
+    add("table.latency-ms", withDefault(raw.tableMillis), "");
+    add("objects.latency-ms", withDefault(raw.objectMillis), "");
+    add("hosts.lag-ms", withDefault(raw.hostLagMillis), "");
     add("hosts.host", Options::value(&raw.hosts)->composing(), "ID,ROLE,ZONE,ADDRESS; may be repeated");
-    add("service.groups", with(raw.services), "NAME:COUNT,...");
-    add("service.read-ms", with(raw.readMillis), "");
-    add("service.write-ms", with(raw.writeMillis), "");
-    add("service.concurrency", with(s.service.concurrency), "calls one instance works on at once");
-    add("platform.runners", with(s.platform.runners), "runners of the users' platform");
-    add("platform.instances", with(s.platform.instances), "instances of a plain service there");
-    add("platform.models", with(s.platform.models), "declared there");
+    add("service.groups", withDefault(raw.services), "NAME:COUNT,...");
+    add("service.read-ms", withDefault(raw.readMillis), "");
+    add("service.write-ms", withDefault(raw.writeMillis), "");
+    add("service.concurrency", withDefault(s.service.concurrency), "calls one instance works on at once");
+    add("platform.runners", withDefault(s.platform.runners), "runners of the users' platform");
+    add("platform.instances", withDefault(s.platform.instances), "instances of a plain service there");
+    add("platform.models", withDefault(s.platform.models), "declared there");
     add("proxy.link", Options::value(&s.links)->composing(), "NAME,LISTEN-PORT,TARGET; may be repeated");
     return all;
 }
@@ -112,19 +112,19 @@
     return Duration::micros(static_cast<std::int64_t>(n * MicrosPerMilli));
 }
 
-auto typed(const RawSettings &raw) -> FakesSettings
+auto toSettings(const RawSettings &raw) -> FakesSettings
 {
     auto settings = raw.settings;
     auto &engine = settings.engine;
     engine.memory = static_cast<std::int64_t>(raw.memoryGigabytes * BytesPerGigabyte);
-    engine.restart = millis(raw.restartMillis);
-    engine.orderLeast = millis(raw.orderLeastMillis);
-    engine.orderMost = millis(raw.orderMostMillis);
-    engine.orderLateMost = millis(raw.orderLateMostMillis);
-    engine.reportEvery = millis(raw.reportMillis);
+    engine.restartDelay = millis(raw.restartMillis);
+    engine.minOrderDelay = millis(raw.minOrderDelayMillis);
+    engine.maxOrderDelay = millis(raw.maxOrderDelayMillis);
+    engine.maxLateOrderDelay = millis(raw.maxLateOrderDelayMillis);
+    engine.reportPeriod = millis(raw.reportMillis);
     engine.reportLag = millis(raw.reportLagMillis);
-    engine.events.leastDelay = millis(raw.eventLeastMillis);
-    engine.events.mostDelay = millis(raw.eventMostMillis);
+    engine.events.minDelay = millis(raw.minEventDelayMillis);
+    engine.events.maxDelay = millis(raw.maxEventDelayMillis);
     engine.batch.stepBase = millis(raw.stepMillis);
     engine.batch.stepPerStream = millis(raw.stepPerStreamMillis);
     settings.weights.bytesPerSecond = raw.loadGigabytesPerSecond * BytesPerGigabyte;
@@ -170,7 +170,7 @@
             Options::store(Options::parse_config_file(in, description), values);
         }
         Options::notify(values);
-        return typed(raw);
+        return toSettings(raw);
     } catch (const std::exception &error) {
         std::cerr << "kingcup-fakes: " << error.what() << "\n";
         return std::nullopt;
--- a/fakes/faultgate.cpp
+++ b/fakes/faultgate.cpp
@@ -34,7 +34,7 @@
 }
 
 /// An exchange nobody hears of: lets an effect take place whose answer is lost.
-auto unheard(const ExchangePtr &exchange) -> ExchangePtr
+auto detachedExchange(const ExchangePtr &exchange) -> ExchangePtr
 {
     return std::make_shared<HttpExchange>(exchange->request());
 }
@@ -71,10 +71,10 @@
 auto FaultGate::heal() -> void
 {
     m_faults.clear();
-    for (const auto &exchange : m_held) {
+    for (const auto &exchange : m_hanging) {
         exchange->abort();
     }
-    m_held.clear();
+    m_hanging.clear();
 }
 
 auto FaultGate::applied() const -> std::uint64_t
@@ -82,7 +82,7 @@
     return m_applied;
 }
 
-auto FaultGate::pick(const StoreRequest &request) -> std::optional<StoreFault>
+auto FaultGate::matchFault(const StoreRequest &request) -> std::optional<StoreFault>
 {
     for (auto fault = m_faults.begin(); fault != m_faults.end(); ++fault) {
         const bool hasKey = fault->prefix.empty()
@@ -101,9 +101,9 @@
     return std::nullopt;
 }
 
-auto FaultGate::pass(StoreRequest request, Duration latency) -> void
+auto FaultGate::handle(StoreRequest request, Duration latency) -> void
 {
-    const auto fault = pick(request);
+    const auto fault = matchFault(request);
     auto run = [effect = std::move(request.effect)](const ExchangePtr &exchange) {
         effect(exchange);
     };
@@ -120,17 +120,17 @@
         answerRetry(exchange, Status::TooManyRequests, "throttled", RetryHint);
         return;
     case FaultMode::Hang:
-        m_held.push_back(exchange);
+        m_hanging.push_back(exchange);
         return;
     case FaultMode::DropAnswer:
         m_clock.after(latency, [run, exchange] {
-            run(unheard(exchange));
+            run(detachedExchange(exchange));
             exchange->abort();
         });
         return;
     case FaultMode::LateEffect:
         exchange->abort();
-        m_clock.after(fault->delay, [run, exchange] { run(unheard(exchange)); });
+        m_clock.after(fault->delay, [run, exchange] { run(detachedExchange(exchange)); });
         return;
     case FaultMode::Slow:
         m_clock.after(latency + fault->delay, [run, exchange] { run(exchange); });
--- a/fakes/faultgate.h
+++ b/fakes/faultgate.h
@@ -49,16 +49,16 @@
     /// Adds a fault; mode "ok" heals all. False if the mode is unknown.
     auto apply(const Json &command) -> bool;
     /// Runs the request's effect after `latency`, or does what the first matching fault says.
-    auto pass(StoreRequest request, Duration latency) -> void;
+    auto handle(StoreRequest request, Duration latency) -> void;
     auto applied() const -> std::uint64_t; ///< requests that a fault was applied to
 
 private:
     auto heal() -> void;
-    auto pick(const StoreRequest &request) -> std::optional<StoreFault>;
+    auto matchFault(const StoreRequest &request) -> std::optional<StoreFault>;
 
     SimClock &m_clock;
     std::vector<StoreFault> m_faults;
-    std::vector<ExchangePtr> m_held;
+    std::vector<ExchangePtr> m_hanging;
     std::uint64_t m_applied = 0;
 };
 
--- a/fakes/hostlist.cpp
+++ b/fakes/hostlist.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 constexpr auto RetryHint = Duration::millis(500);
-constexpr std::size_t MostVersions = 1000;
+constexpr std::size_t MaxVersions = 1000;
 } // namespace
 
 auto hostFromJson(const Json &json) -> Host
@@ -50,7 +50,7 @@
 auto HostList::record() -> void
 {
     m_history.push_back(Version {m_clock.now(), m_hosts});
-    if (m_history.size() > MostVersions) {
+    if (m_history.size() > MaxVersions) {
         m_history.pop_front();
     }
 }
--- a/fakes/objectstore.cpp
+++ b/fakes/objectstore.cpp
@@ -71,7 +71,7 @@
             answerCode(to, Status::NotFound, "no-such-object");
         }
     };
-    m_faults.pass(std::move(operation), m_latency);
+    m_faults.handle(std::move(operation), m_latency);
 }
 
 } // namespace KingCup
--- a/fakes/plainservice.cpp
+++ b/fakes/plainservice.cpp
@@ -9,15 +9,15 @@
 {
 
 /// What stands behind `prefix` in `path`; empty if it doesn't start so.
-auto restAfter(const std::string &path, const std::string &prefix) -> std::string
+auto afterPrefix(const std::string &path, const std::string &prefix) -> std::string
 {
     return path.compare(0, prefix.size(), prefix) == 0 ? path.substr(prefix.size()) : std::string();
 }
 
 /// The path below the service's own root, whether or not the system has left "/services/NAME" in it.
-auto ownPath(const std::string &path, const std::string &name) -> std::string
+auto pathInService(const std::string &path, const std::string &name) -> std::string
 {
-    const auto rest = restAfter(path, "/services/" + name);
+    const auto rest = afterPrefix(path, "/services/" + name);
     return rest.empty() ? path : rest;
 }
 
@@ -32,11 +32,11 @@
 {
     if (request.method == "GET") {
         ++m_reads;
-        if (const auto account = restAfter(path, "/balance/"); !account.empty()) {
+        if (const auto account = afterPrefix(path, "/balance/"); !account.empty()) {
             const auto found = m_balances.find(account);
             return {Status::Ok, {{"account", account}, {"minutes", found == m_balances.end() ? 0 : found->second}}};
         }
-        if (const auto person = restAfter(path, "/lookup/"); !person.empty()) {
+        if (const auto person = afterPrefix(path, "/lookup/"); !person.empty()) {
             const auto found = m_extensions.find(person);
             return {Status::Ok, {{"name", person}, {"extension", found == m_extensions.end() ? "" : found->second}}};
         }
@@ -119,7 +119,7 @@
 auto PlainService::setDown(bool down) -> void
 {
     if (down) {
-        ++m_life;
+        ++m_epoch;
         m_server.reset();
         m_waiting.clear();
         m_running = 0;
@@ -161,26 +161,26 @@
         const auto exchange = m_waiting.front();
         m_waiting.pop_front();
         ++m_running;
-        run(exchange, m_life);
+        run(exchange, m_epoch);
     }
 }
 
 /// Waits for `?wait-ms=` and the service time, runs the call, then holds the answer for `?hold-ms=`.
-auto PlainService::run(const ExchangePtr &exchange, std::uint64_t life) -> void
+auto PlainService::run(const ExchangePtr &exchange, std::uint64_t epoch) -> void
 {
     const auto &request = exchange->request();
     const auto work = (request.method == "GET" ? m_settings.readTime : m_settings.writeTime) * m_slowdown;
     const auto wait = Duration::millis(queryNumber(request.query, "wait-ms", 0));
     const auto held = numberOr(headerValue(request.headers, "x-hold-ms"), 0);
     const auto hold = Duration::millis(queryNumber(request.query, "hold-ms", held));
-    m_clock.after(wait + work, [this, exchange, hold, life] {
-        if (life != m_life) {
+    m_clock.after(wait + work, [this, exchange, hold, epoch] {
+        if (epoch != m_epoch) {
             return;
         }
         const auto &call = exchange->request();
-        const auto answer = m_state->execute(call, ownPath(call.path, m_name), m_id);
-        m_clock.after(hold, [this, exchange, life, answer] {
-            if (life != m_life) {
+        const auto answer = m_state->execute(call, pathInService(call.path, m_name), m_id);
+        m_clock.after(hold, [this, exchange, epoch, answer] {
+            if (epoch != m_epoch) {
                 return;
             }
             answerJson(exchange, answer.status, answer.body);
--- a/fakes/plainservice.h
+++ b/fakes/plainservice.h
@@ -68,7 +68,7 @@
     auto listen() -> void;
     auto onRequest(const ExchangePtr &exchange) -> void;
     auto startNext() -> void;
-    auto run(const ExchangePtr &exchange, std::uint64_t life) -> void;
+    auto run(const ExchangePtr &exchange, std::uint64_t epoch) -> void;
 
     SimClock &m_clock;
     std::string m_id;
@@ -79,7 +79,7 @@
     std::deque<ExchangePtr> m_waiting;
     int m_running = 0;
     double m_slowdown = 1.0;
-    std::uint64_t m_life = 0; // rises with each time it goes down
+    std::uint64_t m_epoch = 0; // rises with each time it goes down
     std::uint64_t m_calls = 0;
     std::int64_t m_lastWork = -1;
     std::unique_ptr<HttpServer> m_server;
--- a/fakes/platformrunner.cpp
+++ b/fakes/platformrunner.cpp
@@ -13,8 +13,8 @@
 constexpr int Misdirected = 421;
 constexpr int ServerError = 500;
 constexpr double AdapterMegabytes = 50;
-constexpr auto AdapterTime = Duration::millis(5);
-constexpr auto LateOrderTime = Duration::millis(800);
+constexpr auto AdapterLoadTime = Duration::millis(5);
+constexpr auto LateOrderDelay = Duration::millis(800);
 
 auto text(const HttpHead &head, const char *name) -> std::string
 {
@@ -27,12 +27,13 @@
     : m_clock(clock)
     , m_store(store)
     , m_settings(std::move(settings))
-    , m_server(
-          clock.loop(), m_settings.port, [this](const WirePtr &connection, const HttpHead &head, const std::string &body) { handle(connection, head, body); })
+    , m_server(clock.loop(),
+               m_settings.port,
+               [this](const RawConnectionPtr &connection, const HttpHead &head, const std::string &body) { handle(connection, head, body); })
     , m_id(m_settings.id)
 {
-    for (const auto &model : m_settings.holds) {
-        m_holds[model];
+    for (const auto &model : m_settings.initialModels) {
+        m_loadedModels[model];
     }
     start();
 }
@@ -51,31 +52,31 @@
 {
     ++m_starts;
     m_up = true;
-    m_born = wallMillis();
+    m_startedAtMillis = wallMillis();
     m_server.setAccepting(true);
-    beat();
+    heartbeat();
 }
 
 auto PlatformRunner::models() const -> Json
 {
     Json list = Json::array();
-    for (const auto &[name, held] : m_holds) {
-        list.push_back({{"name", name}, {"version", 1}, {"adapters", held.adapters}});
+    for (const auto &[name, loaded] : m_loadedModels) {
+        list.push_back({{"name", name}, {"version", 1}, {"adapters", loaded.adapters}});
     }
     return list;
 }
 
 /// Its row, as often as runners write; the store drops rows of silent runners, also of those that it couldn't hear.
-auto PlatformRunner::beat() -> void
+auto PlatformRunner::heartbeat() -> void
 {
-    const auto life = m_life;
-    m_clock.after(m_settings.beat, [this, life] {
-        if (life == m_life) {
-            beat();
+    const auto epoch = m_epoch;
+    m_clock.after(m_settings.heartbeatPeriod, [this, epoch] {
+        if (epoch == m_epoch) {
+            heartbeat();
         }
     });
-    const bool isHeard = m_up && m_listed && m_mode != "dark" && !m_store.isDown();
-    if (isHeard) {
+    const bool canWriteRow = m_up && m_listed && m_mode != "dark" && !m_store.isDown();
+    if (canWriteRow) {
         Json row {{"service", m_settings.service},
                   {"address", "127.0.0.1:" + std::to_string(port())},
                   {"zone", m_settings.zone},
@@ -83,35 +84,35 @@
                   {"slots", m_settings.slots},
                   {"state", m_draining ? "draining" : "ready"},
                   {"cold_left_ms", 0},
-                  {"born", m_born},
+                  {"born", m_startedAtMillis},
                   {"sequence", m_starts}};
         if (m_settings.isRunner) {
             row["models"] = models();
         }
         const auto value = row.dump();
-        m_lastBeat = m_clock.now();
+        m_lastHeartbeat = m_clock.now();
         if (value != m_lastRow || m_store.row("servers", m_id).empty()) {
             m_lastRow = value;
             m_store.put("servers", m_id, value);
         }
-    } else if (m_clock.now() - m_lastBeat > m_settings.lapse && !m_store.row("servers", m_id).empty()) {
+    } else if (m_clock.now() - m_lastHeartbeat > m_settings.rowTimeout && !m_store.row("servers", m_id).empty()) {
         m_store.remove("servers", m_id);
     }
 }
 
 auto PlatformRunner::crash(Duration down, bool sameId) -> void
 {
-    ++m_life;
+    ++m_epoch;
     m_up = false;
-    m_holds.clear();
-    m_orders = 0;
+    m_loadedModels.clear();
+    m_acceptedOrders = 0;
     m_busy = false;
     m_running = 0;
     m_server.setAccepting(false);
     m_server.closeAll();
-    beat();
+    heartbeat();
     m_clock.after(down, [this, sameId, old = m_id] {
-        ++m_life;
+        ++m_epoch;
         if (!sameId) {
             m_id = m_settings.id + "-" + std::to_string(m_starts + 1);
             m_store.remove("servers", old);
@@ -129,13 +130,13 @@
         return true;
     }
     if (mode == "crash-on") {
-        m_poison = command.value("body", std::string());
+        m_crashBody = command.value("body", std::string());
         return true;
     }
     if (mode == "drain") {
         m_draining = true;
-        ++m_life;
-        beat();
+        ++m_epoch;
+        heartbeat();
         return true;
     }
     if (mode == "leave") {
@@ -145,15 +146,15 @@
     }
     if (mode == "return") {
         m_listed = true;
-        ++m_life;
-        beat();
+        ++m_epoch;
+        heartbeat();
         return true;
     }
     if (!Modes.contains(mode)) {
         return false;
     }
     m_mode = mode;
-    m_server.setDark(mode == "dark");
+    m_server.setUnresponsive(mode == "dark");
     return true;
 }
 
@@ -163,20 +164,20 @@
             {"bodies", m_bodies},
             {"accounts", m_accounts},
             {"keysSeen", m_keysSeen},
-            {"overfull", m_overfull},
+            {"overfull", m_overcommits},
             {"cancelled", m_cancelled},
-            {"orderers", m_orderers},
+            {"orderers", m_fenceByHolder},
             {"orderLog", m_orderLog},
             {"running", m_running},
             {"holds", models()},
             {"connections", m_server.connections()},
-            {"mostConnections", m_mostConnections},
+            {"mostConnections", m_maxConnections},
             {"starts", m_starts}};
 }
 
-auto PlatformRunner::handle(const WirePtr &connection, const HttpHead &head, const std::string &body) -> void
+auto PlatformRunner::handle(const RawConnectionPtr &connection, const HttpHead &head, const std::string &body) -> void
 {
-    m_mostConnections = std::max(m_mostConnections, static_cast<int>(m_server.connections()));
+    m_maxConnections = std::max(m_maxConnections, static_cast<int>(m_server.connections()));
     if (m_mode == "reset") {
         connection->close();
         return;
@@ -187,14 +188,14 @@
         if (text(head, "Expect-Instance") != m_id) {
             refuse(connection, "", Misdirected);
         } else {
-            takeOrder(connection, body);
+            receiveOrder(connection, body);
         }
     } else {
         run(connection, head, body);
     }
 }
 
-auto PlatformRunner::refuse(const WirePtr &connection, const std::string &attempt, int status) -> void
+auto PlatformRunner::refuse(const RawConnectionPtr &connection, const std::string &attempt, int status) -> void
 {
     HttpHeaders headers {{"Not-Executed", "1"}, {"Instance-Id", m_id}};
     if (!attempt.empty()) {
@@ -205,15 +206,15 @@
 
 // [SECTION] Requests
 
-auto PlatformRunner::run(const WirePtr &connection, const HttpHead &head, const std::string &body) -> void
+auto PlatformRunner::run(const RawConnectionPtr &connection, const HttpHead &head, const std::string &body) -> void
 {
     const auto attempt = text(head, "Attempt-Id");
     const auto expected = text(head, "Expect-Instance");
     const auto model = text(head, "Model");
     const auto slash = std::min(model.find('/'), model.size());
-    const auto held = m_holds.find(model.substr(0, slash));
-    const bool lacksModel = m_settings.isRunner && held == m_holds.end();
-    const bool lacksAdapter = !lacksModel && slash < model.size() && !held->second.adapters.contains(model.substr(slash + 1));
+    const auto loaded = m_loadedModels.find(model.substr(0, slash));
+    const bool lacksModel = m_settings.isRunner && loaded == m_loadedModels.end();
+    const bool lacksAdapter = !lacksModel && slash < model.size() && !loaded->second.adapters.contains(model.substr(slash + 1));
     if (attempt.empty()) {
         refuse(connection, attempt, Status::BadRequest);
         return;
@@ -235,20 +236,20 @@
         }
         m_keysSeen += isSameHeaderName(header.name, "Authorization") ? 1 : 0;
     }
-    if (!m_poison.empty() && body == m_poison) {
+    if (!m_crashBody.empty() && body == m_crashBody) {
         crash(Duration::millis(300), false);
         return;
     }
     ++m_running;
-    connection->onGone = [this, life = m_life] {
-        if (life == m_life) {
+    connection->onClientClosed = [this, epoch = m_epoch] {
+        if (epoch == m_epoch) {
             ++m_cancelled;
             --m_running;
         }
     };
-    const auto life = m_life;
-    m_clock.after(m_settings.workTime, [this, connection, head, attempt, life] {
-        if (life != m_life || !connection->isOpen()) {
+    const auto epoch = m_epoch;
+    m_clock.after(m_settings.workTime, [this, connection, head, attempt, epoch] {
+        if (epoch != m_epoch || !connection->isOpen()) {
             return;
         }
         if (m_settings.isRunner) {
@@ -259,9 +260,9 @@
     });
 }
 
-auto PlatformRunner::finish(const WirePtr &connection, const std::string &attempt, int status, const std::string &body) -> void
+auto PlatformRunner::finish(const RawConnectionPtr &connection, const std::string &attempt, int status, const std::string &body) -> void
 {
-    connection->onGone = nullptr;
+    connection->onClientClosed = nullptr;
     --m_running;
     HttpHeaders headers {{"Attempt-Id", attempt}, {"Server-Stamp", "stamp-" + m_id + "-" + attempt}};
     if (m_mode == "lose-answers") {
@@ -286,7 +287,7 @@
     }
 }
 
-auto PlatformRunner::runPlain(const WirePtr &connection, const std::string &attempt) -> void
+auto PlatformRunner::runPlain(const RawConnectionPtr &connection, const std::string &attempt) -> void
 {
     if (m_mode == "errors") {
         finish(connection, attempt, ServerError, "error");
@@ -295,7 +296,7 @@
     }
 }
 
-auto PlatformRunner::runStream(const WirePtr &connection, const HttpHead &head, const std::string &attempt) -> void
+auto PlatformRunner::runStream(const RawConnectionPtr &connection, const HttpHead &head, const std::string &attempt) -> void
 {
     if (m_mode == "errors") {
         finish(connection, attempt, ServerError, "error");
@@ -311,28 +312,28 @@
     sendEvent(connection, attempt, first, last);
 }
 
-auto PlatformRunner::sendEvent(const WirePtr &connection, const std::string &attempt, int number, int last) -> void
+auto PlatformRunner::sendEvent(const RawConnectionPtr &connection, const std::string &attempt, int number, int last) -> void
 {
     if (!connection->isOpen()) {
         return;
     }
     if (number > last) {
-        connection->onGone = nullptr;
+        connection->onClientClosed = nullptr;
         --m_running;
         connection->write(LastChunk);
         return;
     }
     const auto event = "id: " + std::to_string(number) + "\ndata: " + attempt + " " + std::to_string(number) + "\n\n";
     if (m_mode == "truncate" && number == 2) {
-        connection->onGone = nullptr;
+        connection->onClientClosed = nullptr;
         --m_running;
         connection->write(chunk(event.substr(0, event.size() / 2)));
         connection->close();
         return;
     }
     connection->write(chunk(event));
-    m_clock.after(m_settings.eventTime, [this, connection, attempt, number, last, life = m_life] {
-        if (life == m_life) {
+    m_clock.after(m_settings.eventTime, [this, connection, attempt, number, last, epoch = m_epoch] {
+        if (epoch == m_epoch) {
             sendEvent(connection, attempt, number + 1, last);
         }
     });
@@ -345,19 +346,19 @@
     return {{"stage", "combined"},
             {"models", models()},
             {"busy", m_busy},
-            {"sequence", m_orders},
+            {"sequence", m_acceptedOrders},
             {"waiting", 0},
             {"running", m_running},
             {"kv_used", 0},
             {"kv_total", 100000},
             {"handles", 0},
-            {"born", m_born}};
+            {"born", m_startedAtMillis}};
 }
 
 auto PlatformRunner::usedMegabytes() const -> double
 {
     double used = 0;
-    for (const auto &holding : m_holds) {
+    for (const auto &holding : m_loadedModels) {
         const auto isHeld = [&](const PlatformModel &model) {
             return model.name == holding.first;
         };
@@ -371,33 +372,33 @@
 auto PlatformRunner::usedAdapterSlots() const -> std::size_t
 {
     std::size_t used = 0;
-    for (const auto &[name, held] : m_holds) {
-        used += held.adapters.size();
+    for (const auto &[name, loaded] : m_loadedModels) {
+        used += loaded.adapters.size();
     }
     return used;
 }
 
-auto PlatformRunner::takeOrder(const WirePtr &connection, const std::string &body) -> void
+auto PlatformRunner::receiveOrder(const RawConnectionPtr &connection, const std::string &body) -> void
 {
     const auto parsed = Json::parse(body, nullptr, false);
     const Order order {
         parsed.value("operation", "") == "load", parsed.value("model", ""), parsed.value("adapter", ""), parsed.value("expected_revision", 0ULL)};
     const auto holder = parsed.value("holder", "");
-    m_orderers[holder] = std::to_string(parsed.value("fencing_token", 0ULL));
+    m_fenceByHolder[holder] = std::to_string(parsed.value("fencing_token", 0ULL));
     m_orderLog.push_back(std::to_string(m_clock.now().inMillis()) + " " + holder + " " + parsed.value("operation", "") + " " + order.model + "/"
                          + order.adapter);
     if (m_mode == "late-orders") {
         // No answer, and it is carried out later if its number still holds.
         connection->close();
-        m_clock.after(LateOrderTime, [this, order] { carryOut(order); });
+        m_clock.after(LateOrderDelay, [this, order] { applyOrder(order); });
         return;
     }
-    connection->answer(carryOut(order), {}, "");
+    connection->answer(applyOrder(order), {}, "");
 }
 
-auto PlatformRunner::carryOut(const Order &order) -> int
+auto PlatformRunner::applyOrder(const Order &order) -> int
 {
-    if (m_busy || order.expected != m_orders || !m_up) {
+    if (m_busy || order.expectedCount != m_acceptedOrders || !m_up) {
         return Status::Conflict;
     }
     const auto declared
@@ -405,40 +406,40 @@
     if (declared == m_settings.models.end()) {
         return Status::BadRequest;
     }
-    const bool holds = m_holds.contains(order.model);
-    const auto life = m_life;
+    const bool isLoaded = m_loadedModels.contains(order.model);
+    const auto epoch = m_epoch;
     if (!order.adapter.empty()) {
-        if (!holds) {
+        if (!isLoaded) {
             return Status::BadRequest;
         }
-        ++m_orders;
-        auto &adapters = m_holds[order.model].adapters;
+        ++m_acceptedOrders;
+        auto &adapters = m_loadedModels[order.model].adapters;
         if (!order.isLoad) {
             adapters.erase(order.adapter);
             return Status::Ok;
         }
-        m_overfull += usedAdapterSlots() >= static_cast<std::size_t>(m_settings.adapterSlots) ? 1 : 0;
-        m_clock.after(AdapterTime, [this, order, life] {
-            if (life == m_life && m_holds.contains(order.model)) {
-                m_holds[order.model].adapters.insert(order.adapter);
+        m_overcommits += usedAdapterSlots() >= static_cast<std::size_t>(m_settings.adapterSlots) ? 1 : 0;
+        m_clock.after(AdapterLoadTime, [this, order, epoch] {
+            if (epoch == m_epoch && m_loadedModels.contains(order.model)) {
+                m_loadedModels[order.model].adapters.insert(order.adapter);
             }
         });
         return Status::Accepted;
     }
-    if (order.isLoad == holds) {
+    if (order.isLoad == isLoaded) {
         return Status::Ok;
     }
-    ++m_orders;
+    ++m_acceptedOrders;
     if (!order.isLoad) {
-        m_holds.erase(order.model);
+        m_loadedModels.erase(order.model);
         return Status::Accepted;
     }
-    m_overfull += usedMegabytes() + declared->weightsMegabytes > m_settings.memoryMegabytes ? 1 : 0;
+    m_overcommits += usedMegabytes() + declared->weightsMegabytes > m_settings.memoryMegabytes ? 1 : 0;
     m_busy = true;
-    m_clock.after(declared->loadTime, [this, order, life] {
-        if (life == m_life) {
+    m_clock.after(declared->loadTime, [this, order, epoch] {
+        if (epoch == m_epoch) {
             m_busy = false;
-            m_holds[order.model];
+            m_loadedModels[order.model];
         }
     });
     return Status::Accepted;
--- a/fakes/platformrunner.h
+++ b/fakes/platformrunner.h
@@ -34,11 +34,11 @@
     double memoryMegabytes = 150000;
     int adapterSlots = 2;
     std::vector<PlatformModel> models; ///< declared
-    std::vector<std::string> holds; ///< at its start
+    std::vector<std::string> initialModels; ///< at its start
     Duration workTime = Duration::millis(20); ///< of a plain request, and until the first event of a stream
     Duration eventTime = Duration::millis(10); ///< between events
-    Duration beat = Duration::millis(200);
-    Duration lapse = Duration::millis(600); ///< of silence, until its row goes
+    Duration heartbeatPeriod = Duration::millis(200);
+    Duration rowTimeout = Duration::millis(600); ///< of silence, until its row goes
 };
 
 class PlatformRunner
@@ -54,27 +54,27 @@
     auto command(const Json &command) -> bool;
 
 private:
-    struct Held {
+    struct LoadedModel {
         std::set<std::string> adapters;
     };
     struct Order {
         bool isLoad = true;
         std::string model;
         std::string adapter;
-        std::uint64_t expected = 0;
+        std::uint64_t expectedCount = 0;
     };
-    auto handle(const WirePtr &connection, const HttpHead &head, const std::string &body) -> void;
-    auto run(const WirePtr &connection, const HttpHead &head, const std::string &body) -> void;
-    auto runPlain(const WirePtr &connection, const std::string &attempt) -> void;
-    auto runStream(const WirePtr &connection, const HttpHead &head, const std::string &attempt) -> void;
-    auto sendEvent(const WirePtr &connection, const std::string &attempt, int number, int last) -> void;
-    auto finish(const WirePtr &connection, const std::string &attempt, int status, const std::string &body) -> void;
-    auto refuse(const WirePtr &connection, const std::string &attempt, int status) -> void;
-    auto takeOrder(const WirePtr &connection, const std::string &body) -> void;
-    auto carryOut(const Order &order) -> int;
+    auto handle(const RawConnectionPtr &connection, const HttpHead &head, const std::string &body) -> void;
+    auto run(const RawConnectionPtr &connection, const HttpHead &head, const std::string &body) -> void;
+    auto runPlain(const RawConnectionPtr &connection, const std::string &attempt) -> void;
+    auto runStream(const RawConnectionPtr &connection, const HttpHead &head, const std::string &attempt) -> void;
+    auto sendEvent(const RawConnectionPtr &connection, const std::string &attempt, int number, int last) -> void;
+    auto finish(const RawConnectionPtr &connection, const std::string &attempt, int status, const std::string &body) -> void;
+    auto refuse(const RawConnectionPtr &connection, const std::string &attempt, int status) -> void;
+    auto receiveOrder(const RawConnectionPtr &connection, const std::string &body) -> void;
+    auto applyOrder(const Order &order) -> int;
     auto report() const -> Json;
     auto models() const -> Json;
-    auto beat() -> void;
+    auto heartbeat() -> void;
     auto start() -> void;
     auto crash(Duration down, bool sameId) -> void;
     auto usedMegabytes() const -> double;
@@ -83,33 +83,33 @@
     SimClock &m_clock;
     PlatformStore &m_store;
     PlatformRunnerSettings m_settings;
-    WireServer m_server;
+    RawServer m_server;
     std::string m_id; ///< of this start
-    std::uint64_t m_born = 0;
+    std::uint64_t m_startedAtMillis = 0;
     int m_starts = 0;
-    std::uint64_t m_life = 0; ///< rises at each crash: timers of an earlier life do nothing
+    std::uint64_t m_epoch = 0; ///< rises at each crash: timers of an earlier life do nothing
     bool m_up = true;
     bool m_draining = false;
     bool m_listed = true;
     std::string m_mode = "well";
-    std::string m_poison; ///< a request with this body crashes it
-    std::map<std::string, Held> m_holds;
+    std::string m_crashBody; ///< a request with this body crashes it
+    std::map<std::string, LoadedModel> m_loadedModels;
     bool m_busy = false;
-    std::uint64_t m_orders = 0;
+    std::uint64_t m_acceptedOrders = 0;
     int m_running = 0;
     std::string m_lastRow;
-    Duration m_lastBeat;
+    Duration m_lastHeartbeat;
 
     // The truth.
     std::map<std::string, int> m_runs; ///< by attempt, over all its lives
     std::map<std::string, std::string> m_bodies; ///< by attempt
     std::map<std::string, std::string> m_accounts; ///< by attempt: each account that the request names, joined by commas
     std::uint64_t m_keysSeen = 0; ///< requests that came with a client's key
-    std::uint64_t m_overfull = 0; ///< orders to load more than there is room for
+    std::uint64_t m_overcommits = 0; ///< orders to load more than there is room for
     std::uint64_t m_cancelled = 0; ///< runs whose caller left
-    std::map<std::string, std::string> m_orderers; ///< holder and fence, by holder
+    std::map<std::string, std::string> m_fenceByHolder; ///< holder and fence, by holder
     std::vector<std::string> m_orderLog;
-    int m_mostConnections = 0;
+    int m_maxConnections = 0;
 };
 
 } // namespace KingCup
--- a/fakes/platformsite.cpp
+++ b/fakes/platformsite.cpp
@@ -45,7 +45,7 @@
         runner.memoryMegabytes = RunnerMegabytes;
         runner.adapterSlots = AdapterSlots;
         runner.models = m_models;
-        runner.holds = {m_models[static_cast<std::size_t>(i) % m_models.size()].name};
+        runner.initialModels = {m_models[static_cast<std::size_t>(i) % m_models.size()].name};
         m_runners.push_back(std::make_unique<PlatformRunner>(clock, m_store, runner));
     }
     for (int i = 0; i < settings.instances; ++i) {
@@ -122,17 +122,17 @@
 {
     Json all {{"store", m_store.truth()}, {"runners", Json::object()}, {"version", m_version}};
     std::map<std::string, int> runs;
-    std::uint64_t overfull = 0;
+    std::uint64_t overcommits = 0;
     for (const auto &runner : m_runners) {
-        auto one = runner->truth();
-        for (const auto &[attempt, count] : one["runs"].items()) {
+        auto runnerTruth = runner->truth();
+        for (const auto &[attempt, count] : runnerTruth["runs"].items()) {
             runs[attempt] += count.get<int>();
         }
-        overfull += one["overfull"].get<std::uint64_t>();
-        all["runners"][runner->id()] = std::move(one);
+        overcommits += runnerTruth["overfull"].get<std::uint64_t>();
+        all["runners"][runner->id()] = std::move(runnerTruth);
     }
     all["runs"] = runs;
-    all["overfull"] = overfull;
+    all["overfull"] = overcommits;
     return all;
 }
 
--- a/fakes/platformstore.cpp
+++ b/fakes/platformstore.cpp
@@ -28,13 +28,14 @@
 }
 
 constexpr int Gone = 410;
-constexpr auto MostWait = Duration::seconds(30);
+constexpr auto MaxPollTimeout = Duration::seconds(30);
 
 } // namespace
 
 PlatformStore::PlatformStore(SimClock &clock, int port)
     : m_clock(clock)
-    , m_server(clock.loop(), port, [this](const WirePtr &connection, const HttpHead &head, const std::string &body) { handle(connection, head, body); })
+    , m_server(
+          clock.loop(), port, [this](const RawConnectionPtr &connection, const HttpHead &head, const std::string &body) { handle(connection, head, body); })
 {
 }
 
@@ -72,7 +73,7 @@
 auto PlatformStore::setMode(const std::string &mode) -> bool
 {
     if (mode == "forget-history") {
-        m_forgottenUpTo = m_version;
+        m_discardedUpTo = m_version;
         m_changes.clear();
         for (const auto &watch : m_watches) {
             watch.connection->close();
@@ -91,7 +92,7 @@
     if (mode == "swallow") {
         m_watches.clear();
     }
-    m_server.setDark(mode == "silent");
+    m_server.setUnresponsive(mode == "silent");
     return true;
 }
 
@@ -100,7 +101,7 @@
     auto &row = m_tables[table][key];
     row.value = value;
     row.version = ++m_version;
-    change(table, key, false);
+    recordChange(table, key, false);
     answerWatches();
 }
 
@@ -108,12 +109,12 @@
 {
     if (m_tables[table].erase(key) > 0) {
         ++m_version;
-        change(table, key, true);
+        recordChange(table, key, true);
         answerWatches();
     }
 }
 
-auto PlatformStore::change(const std::string &table, const std::string &key, bool removed) -> void
+auto PlatformStore::recordChange(const std::string &table, const std::string &key, bool removed) -> void
 {
     m_changes.push_back({table, key, m_version, removed});
 }
@@ -124,7 +125,7 @@
     return {{"table", table}, {"part", ""}, {"key", key}, {"value", base64(row.value)}, {"ver", row.version}};
 }
 
-auto PlatformStore::answer(const WirePtr &connection, int status, Json body) -> void
+auto PlatformStore::answer(const RawConnectionPtr &connection, int status, Json body) -> void
 {
     if (m_mode == "lose-answers") {
         connection->close();
@@ -135,7 +136,7 @@
     connection->answer(status, {{"Content-Type", "application/json"}}, body.dump());
 }
 
-auto PlatformStore::handle(const WirePtr &connection, const HttpHead &head, const std::string &body) -> void
+auto PlatformStore::handle(const RawConnectionPtr &connection, const HttpHead &head, const std::string &body) -> void
 {
     if (m_mode == "busy") {
         connection->answer(Status::Unavailable, {}, "");
@@ -159,7 +160,7 @@
     }
 }
 
-auto PlatformStore::read(const WirePtr &connection, const std::string &query) -> void
+auto PlatformStore::read(const RawConnectionPtr &connection, const std::string &query) -> void
 {
     constexpr std::size_t PageRows = 3; // small, so that tests see more than one page
     const auto table = queryValue(query, "table");
@@ -179,7 +180,7 @@
     answer(connection, Status::Ok, {{"rows", rows}, {"has_more", more}});
 }
 
-auto PlatformStore::changesOf(const std::string &table, std::uint64_t after) const -> Json
+auto PlatformStore::changesAfter(const std::string &table, std::uint64_t after) const -> Json
 {
     Json rows = Json::array();
     for (const auto &change : m_changes) {
@@ -196,19 +197,19 @@
     return rows;
 }
 
-auto PlatformStore::watch(const WirePtr &connection, const std::string &query) -> void
+auto PlatformStore::watch(const RawConnectionPtr &connection, const std::string &query) -> void
 {
     const auto table = queryValue(query, "table");
     const auto after = static_cast<std::uint64_t>(queryNumber(query, "after", 0));
     m_tables[table];
-    if (after < m_forgottenUpTo) {
+    if (after < m_discardedUpTo) {
         answer(connection, Gone, Json::object());
         return;
     }
     const auto number = ++m_watchNumber;
     m_watches.push_back({connection, table, after, number});
     answerWatches();
-    const auto wait = std::min(Duration::millis(queryNumber(query, "wait_ms", 0)), MostWait);
+    const auto wait = std::min(Duration::millis(queryNumber(query, "wait_ms", 0)), MaxPollTimeout);
     m_clock.after(wait, [this, number] {
         for (auto watch = m_watches.begin(); watch != m_watches.end(); ++watch) {
             if (watch->number == number) {
@@ -226,7 +227,7 @@
         return;
     }
     for (auto watch = m_watches.begin(); watch != m_watches.end();) {
-        const auto rows = changesOf(watch->table, watch->after);
+        const auto rows = changesAfter(watch->table, watch->after);
         if (!watch->connection->isOpen()) {
             watch = m_watches.erase(watch);
         } else if (!rows.empty()) {
@@ -238,7 +239,7 @@
     }
 }
 
-auto PlatformStore::transact(const WirePtr &connection, const std::string &body) -> void
+auto PlatformStore::transact(const RawConnectionPtr &connection, const std::string &body) -> void
 {
     const auto parsed = Json::parse(body, nullptr, false);
     if (parsed.is_discarded()) {
@@ -257,11 +258,11 @@
     ++m_version;
     for (const auto &write : parsed.value("writes", Json::array())) {
         m_tables[write["table"]][write["key"]] = {unbase64(write["value"]), m_version};
-        change(write["table"], write["key"], false);
+        recordChange(write["table"], write["key"], false);
     }
     for (const auto &removal : parsed.value("remove", Json::array())) {
         m_tables[removal["table"]].erase(removal["key"].get<std::string>());
-        change(removal["table"], removal["key"], true);
+        recordChange(removal["table"], removal["key"], true);
     }
     answer(connection, Status::Ok, Json::object());
     answerWatches();
--- a/fakes/platformstore.h
+++ b/fakes/platformstore.h
@@ -44,28 +44,28 @@
         bool removed = false;
     };
     struct Watch {
-        WirePtr connection;
+        RawConnectionPtr connection;
         std::string table;
         std::uint64_t after = 0;
         std::uint64_t number = 0;
     };
-    auto handle(const WirePtr &connection, const HttpHead &head, const std::string &body) -> void;
-    auto read(const WirePtr &connection, const std::string &query) -> void;
-    auto watch(const WirePtr &connection, const std::string &query) -> void;
-    auto transact(const WirePtr &connection, const std::string &body) -> void;
-    auto change(const std::string &table, const std::string &key, bool removed) -> void;
+    auto handle(const RawConnectionPtr &connection, const HttpHead &head, const std::string &body) -> void;
+    auto read(const RawConnectionPtr &connection, const std::string &query) -> void;
+    auto watch(const RawConnectionPtr &connection, const std::string &query) -> void;
+    auto transact(const RawConnectionPtr &connection, const std::string &body) -> void;
+    auto recordChange(const std::string &table, const std::string &key, bool removed) -> void;
     auto answerWatches() -> void;
-    auto changesOf(const std::string &table, std::uint64_t after) const -> Json;
+    auto changesAfter(const std::string &table, std::uint64_t after) const -> Json;
     auto rowJson(const std::string &table, const std::string &key) const -> Json;
-    auto answer(const WirePtr &connection, int status, Json body) -> void;
+    auto answer(const RawConnectionPtr &connection, int status, Json body) -> void;
 
     SimClock &m_clock;
-    WireServer m_server;
+    RawServer m_server;
     std::map<std::string, std::map<std::string, Row>> m_tables;
     std::deque<Change> m_changes;
     std::list<Watch> m_watches;
     std::uint64_t m_version = 0;
-    std::uint64_t m_forgottenUpTo = 0;
+    std::uint64_t m_discardedUpTo = 0;
     std::uint64_t m_watchNumber = 0;
     std::map<std::string, std::uint64_t> m_calls; ///< by path
     std::string m_mode = "up";
--- a/fakes/platformwire.cpp
+++ b/fakes/platformwire.cpp
@@ -8,29 +8,29 @@
 namespace
 {
 
-constexpr std::size_t HeadBytes = 1U << 20U;
+constexpr std::size_t MaxHeadBytes = 1U << 20U;
 
 } // namespace
 
-auto WireConnection::isOpen() const -> bool
+auto RawConnection::isOpen() const -> bool
 {
     return m_stream != nullptr;
 }
 
-auto WireConnection::write(std::string_view bytes) -> void
+auto RawConnection::write(std::string_view bytes) -> void
 {
     if (m_stream) {
         m_stream->write(bytes);
     }
 }
 
-auto WireConnection::answer(int status, HttpHeaders headers, std::string_view body) -> void
+auto RawConnection::answer(int status, HttpHeaders headers, std::string_view body) -> void
 {
     headers.push_back({"Content-Length", std::to_string(body.size())});
     write(answerHead(status, headers) + std::string(body));
 }
 
-auto WireConnection::close() -> void
+auto RawConnection::close() -> void
 {
     const auto self = shared_from_this();
     m_stream.reset();
@@ -39,36 +39,36 @@
     }
 }
 
-WireServer::WireServer(EventLoop &loop, int port, Handler handler)
+RawServer::RawServer(EventLoop &loop, int port, Handler handler)
     : m_loop(loop)
     , m_handler(std::move(handler))
     , m_listener(loop, {"127.0.0.1", port}, TcpOptions(), [this](std::unique_ptr<TcpStream> stream) { accept(std::move(stream)); })
 {
 }
 
-WireServer::~WireServer()
+RawServer::~RawServer()
 {
     closeAll();
 }
 
-auto WireServer::port() const -> int
+auto RawServer::port() const -> int
 {
     return m_listener.port();
 }
 
-auto WireServer::connections() const -> std::size_t
+auto RawServer::connections() const -> std::size_t
 {
     return m_connections.size();
 }
 
-auto WireServer::setAccepting(bool on) -> void
+auto RawServer::setAccepting(bool on) -> void
 {
     m_accepting = on;
 }
 
-auto WireServer::setDark(bool on) -> void
+auto RawServer::setUnresponsive(bool on) -> void
 {
-    m_dark = on;
+    m_unresponsive = on;
     for (const auto &connection : m_connections) {
         if (on) {
             connection->m_stream->pauseReading();
@@ -78,7 +78,7 @@
     }
 }
 
-auto WireServer::closeAll() -> void
+auto RawServer::closeAll() -> void
 {
     const auto all = m_connections;
     for (const auto &connection : all) {
@@ -86,14 +86,14 @@
     }
 }
 
-auto WireServer::accept(std::unique_ptr<TcpStream> stream) -> void
+auto RawServer::accept(std::unique_ptr<TcpStream> stream) -> void
 {
     if (!m_accepting) {
         return; // closed with the stream
     }
-    auto connection = std::make_shared<WireConnection>();
+    auto connection = std::make_shared<RawConnection>();
     connection->m_stream = std::move(stream);
-    connection->m_reader = std::make_unique<HttpReader>(HttpReader::Kind::Request, HeadBytes);
+    connection->m_reader = std::make_unique<HttpReader>(HttpReader::Kind::Request, MaxHeadBytes);
     connection->m_server = this;
     auto *raw = connection.get();
     raw->m_reader->onBody = [raw](std::string_view bytes) {
@@ -106,12 +106,12 @@
         onEnd(raw->shared_from_this());
     };
     m_connections.insert(connection);
-    if (m_dark) {
+    if (m_unresponsive) {
         raw->m_stream->pauseReading();
     }
 }
 
-auto WireServer::onData(const WirePtr &connection, std::string_view bytes) -> void
+auto RawServer::onData(const RawConnectionPtr &connection, std::string_view bytes) -> void
 {
     while (!bytes.empty() && connection->isOpen()) {
         const auto used = connection->m_reader->feed(bytes);
@@ -130,9 +130,9 @@
     }
 }
 
-auto WireServer::onEnd(const WirePtr &connection) -> void
+auto RawServer::onEnd(const RawConnectionPtr &connection) -> void
 {
-    const auto gone = std::exchange(connection->onGone, nullptr);
+    const auto gone = std::exchange(connection->onClientClosed, nullptr);
     connection->close();
     if (gone) {
         gone();
--- a/fakes/platformwire.h
+++ b/fakes/platformwire.h
@@ -13,7 +13,7 @@
 {
 
 /// One accepted connection; kept by whoever answers.
-class WireConnection : public std::enable_shared_from_this<WireConnection>
+class RawConnection : public std::enable_shared_from_this<RawConnection>
 {
 public:
     auto isOpen() const -> bool;
@@ -21,45 +21,45 @@
     auto answer(int status, HttpHeaders headers, std::string_view body) -> void; ///< whole, with its length
     auto close() -> void;
 
-    std::function<void()> onGone; ///< the caller closed it; replaced by each request's handler
+    std::function<void()> onClientClosed; ///< the caller closed it; replaced by each request's handler
 
 private:
-    friend class WireServer;
+    friend class RawServer;
     std::unique_ptr<TcpStream> m_stream;
     std::unique_ptr<HttpReader> m_reader;
     std::string m_body;
-    class WireServer *m_server = nullptr;
+    class RawServer *m_server = nullptr;
 };
-using WirePtr = std::shared_ptr<WireConnection>;
+using RawConnectionPtr = std::shared_ptr<RawConnection>;
 
-class WireServer
+class RawServer
 {
 public:
-    using Handler = std::function<void(const WirePtr &connection, const HttpHead &head, const std::string &body)>;
+    using Handler = std::function<void(const RawConnectionPtr &connection, const HttpHead &head, const std::string &body)>;
 
-    WireServer(EventLoop &loop, int port, Handler handler);
-    ~WireServer();
+    RawServer(EventLoop &loop, int port, Handler handler);
+    ~RawServer();
 
     auto port() const -> int;
     auto connections() const -> std::size_t;
     /// While off, new connections are accepted and closed at once, as a crashed host's system does after a fashion.
     auto setAccepting(bool on) -> void;
     /// While on, nothing is read: a host without power answers nothing, though this machine's system still acknowledges.
-    auto setDark(bool on) -> void;
+    auto setUnresponsive(bool on) -> void;
     auto closeAll() -> void;
 
 private:
-    friend class WireConnection;
+    friend class RawConnection;
     auto accept(std::unique_ptr<TcpStream> stream) -> void;
-    auto onData(const WirePtr &connection, std::string_view bytes) -> void;
-    auto onEnd(const WirePtr &connection) -> void;
+    auto onData(const RawConnectionPtr &connection, std::string_view bytes) -> void;
+    auto onEnd(const RawConnectionPtr &connection) -> void;
 
     EventLoop &m_loop;
     Handler m_handler;
     TcpListener m_listener;
-    std::set<WirePtr> m_connections;
+    std::set<RawConnectionPtr> m_connections;
     bool m_accepting = true;
-    bool m_dark = false;
+    bool m_unresponsive = false;
 };
 
 } // namespace KingCup
--- a/fakes/prefixcache.cpp
+++ b/fakes/prefixcache.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr std::size_t MostEvents = 5000;
-constexpr std::size_t MostEventsPerAnswer = 500;
+constexpr std::size_t MaxEvents = 5000;
+constexpr std::size_t MaxEventsPerAnswer = 500;
 
 auto hex(std::uint64_t value) -> std::string
 {
@@ -99,8 +99,8 @@
     if (m_clock.random() < m_settings.dropRate) {
         return;
     }
-    m_events.push_back(Event {m_sequence, m_clock.now() + m_clock.randomDuration(m_settings.leastDelay, m_settings.mostDelay), stored, hash});
-    if (m_events.size() > MostEvents) {
+    m_events.push_back(Event {m_sequence, m_clock.now() + m_clock.randomDuration(m_settings.minDelay, m_settings.maxDelay), stored, hash});
+    if (m_events.size() > MaxEvents) {
         m_events.pop_front();
     }
 }
@@ -114,7 +114,7 @@
         if (event.sequence <= after) {
             continue;
         }
-        if (event.visibleAt > now || list.size() == MostEventsPerAnswer) {
+        if (event.visibleAt > now || list.size() == MaxEventsPerAnswer) {
             break;
         }
         list.push_back({{"seq", event.sequence}, {"kind", event.stored ? "stored" : "evicted"}, {"prefix", event.hash}});
--- a/fakes/prefixcache.h
+++ b/fakes/prefixcache.h
@@ -26,8 +26,8 @@
 auto prefixHashes(const std::string &artifact, const std::string &prompt) -> std::vector<std::string>;
 
 struct CacheEventSettings {
-    Duration leastDelay = Duration::millis(500);
-    Duration mostDelay = Duration::seconds(2);
+    Duration minDelay = Duration::millis(500);
+    Duration maxDelay = Duration::seconds(2);
     double dropRate = 0.02;
 };
 
--- a/fakes/proxy.cpp
+++ b/fakes/proxy.cpp
@@ -21,11 +21,11 @@
 constexpr std::size_t MaxWriteBytes = 16384;
 constexpr auto DripPeriod = Duration::millis(20);
 
-enum Side : std::size_t { Near = 0, Far = 1 };
+enum Side : std::size_t { ClientSide = 0, TargetSide = 1 };
 
 auto other(Side side) -> Side
 {
-    return side == Near ? Far : Near;
+    return side == ClientSide ? TargetSide : ClientSide;
 }
 
 } // namespace
@@ -45,7 +45,7 @@
     std::deque<Piece> queue;
     std::size_t queued = 0;
     double allowance = 0; // bytes that a slow link may still pass in this period
-    bool hasLost = false; // bytes have vanished: a byte stream has no holes, so nothing behind them may pass
+    bool hasLostBytes = false; // bytes have vanished: a byte stream has no holes, so nothing behind them may pass
 
     /// The next bytes that may be written now.
     auto take(Duration now, double bytesPerSecond) -> std::string
@@ -73,10 +73,10 @@
 };
 
 /// One proxied connection.
-struct Pair {
+struct ConnectionPair {
     std::array<lws *, 2> sockets {};
     std::array<Pipe, 2> pipes; // by the side the data came from
-    bool farConnected = false;
+    bool targetConnected = false;
     bool ending = false; // one side has closed: the other is closed when it has got everything
 };
 
@@ -91,9 +91,9 @@
     LinkFault fault;
     lws_vhost *vhost = nullptr;
     std::array<lws_protocols, 2> protocols {};
-    std::map<Pair *, std::unique_ptr<Pair>> pairs;
-    std::uint64_t dropped = 0;
-    Timer drip;
+    std::map<ConnectionPair *, std::unique_ptr<ConnectionPair>> pairs;
+    std::uint64_t droppedAnswers = 0;
+    Timer dripTimer;
     bool destroyed = false; // the Link has gone; libwebsockets still holds the virtual host
 
     Private(SimClock &simClock, std::string linkName, Endpoint linkTarget)
@@ -104,17 +104,17 @@
     }
 
     static auto callback(lws *wsi, lws_callback_reasons reason, void *user, void *in, size_t length) -> int;
-    static auto forget(lws_vhost *vhost, void *self) -> void;
+    static auto onVhostDestroyed(lws_vhost *vhost, void *self) -> void;
     auto onAccepted(lws *wsi) -> int;
-    auto onReceived(Pair &pair, Side side, std::string_view data) -> int;
-    auto onWritable(Pair &pair, Side side) -> int;
-    auto onClosed(Pair &pair, Side side) -> void;
-    auto swallows(Side from) -> bool;
-    auto kill(Pair &pair) -> void;
-    auto wakeUp(const Pair &pair) const -> void;
+    auto onReceived(ConnectionPair &pair, Side side, std::string_view data) -> int;
+    auto onWritable(ConnectionPair &pair, Side side) -> int;
+    auto onClosed(ConnectionPair &pair, Side side) -> void;
+    auto dropsFrom(Side from) -> bool;
+    auto abort(ConnectionPair &pair) -> void;
+    auto wakeUp(const ConnectionPair &pair) const -> void;
     auto wakeUpAll() const -> void;
-    auto refill() -> void;
-    auto setReading(const Pair &pair) const -> void;
+    auto refillAllowances() -> void;
+    auto setReading(const ConnectionPair &pair) const -> void;
 };
 
 auto Link::Private::callback(lws *wsi, lws_callback_reasons reason, void * /*user*/, void *in, size_t length) -> int
@@ -130,15 +130,15 @@
     if (reason == LWS_CALLBACK_RAW_ADOPT) {
         return self->onAccepted(wsi);
     }
-    const auto found = self->pairs.find(static_cast<Pair *>(lws_get_opaque_user_data(wsi)));
+    const auto found = self->pairs.find(static_cast<ConnectionPair *>(lws_get_opaque_user_data(wsi)));
     if (found == self->pairs.end()) {
         return reason == LWS_CALLBACK_RAW_RX || reason == LWS_CALLBACK_RAW_WRITEABLE ? -1 : 0;
     }
     auto &pair = *found->second;
-    const Side side = wsi == pair.sockets[Near] ? Near : Far;
+    const Side side = wsi == pair.sockets[ClientSide] ? ClientSide : TargetSide;
     switch (reason) {
     case LWS_CALLBACK_RAW_CONNECTED:
-        pair.farConnected = true;
+        pair.targetConnected = true;
         self->setReading(pair);
         self->wakeUp(pair);
         return 0;
@@ -160,9 +160,9 @@
     if (fault.cut) {
         return -1;
     }
-    auto owned = std::make_unique<Pair>();
+    auto owned = std::make_unique<ConnectionPair>();
     auto *pair = owned.get();
-    pair->sockets[Near] = wsi;
+    pair->sockets[ClientSide] = wsi;
     pairs[pair] = std::move(owned);
     lws_set_opaque_user_data(wsi, pair);
     lws_client_connect_info info {};
@@ -175,7 +175,7 @@
     info.method = "RAW";
     info.local_protocol_name = protocols[0].name;
     info.opaque_user_data = pair;
-    info.pwsi = &pair->sockets[Far];
+    info.pwsi = &pair->sockets[TargetSide];
     if (lws_client_connect_via_info(&info) == nullptr) {
         pairs.erase(pair);
         return -1;
@@ -185,29 +185,29 @@
 }
 
 /// Whether data from this side is to vanish.
-auto Link::Private::swallows(Side from) -> bool
+auto Link::Private::dropsFrom(Side from) -> bool
 {
-    return from == Near ? fault.loseUp : fault.loseDown;
+    return from == ClientSide ? fault.loseUp : fault.loseDown;
 }
 
-auto Link::Private::onReceived(Pair &pair, Side side, std::string_view data) -> int
+auto Link::Private::onReceived(ConnectionPair &pair, Side side, std::string_view data) -> int
 {
-    if (side == Far && fault.dropAnswers > 0 && !data.empty()) {
+    if (side == TargetSide && fault.dropAnswers > 0 && !data.empty()) {
         --fault.dropAnswers;
-        ++dropped;
-        kill(pair);
+        ++droppedAnswers;
+        abort(pair);
         return -1;
     }
     if (data.empty()) {
         return 0;
     }
     auto &pipe = pair.pipes[side];
-    if (swallows(side)) {
-        pipe.hasLost = true;
+    if (dropsFrom(side)) {
+        pipe.hasLostBytes = true;
         return 0;
     }
-    if (pipe.hasLost) {
-        kill(pair);
+    if (pipe.hasLostBytes) {
+        abort(pair);
         return -1;
     }
     pipe.queue.push_back(Piece {std::string(data), clock.now() + fault.delay});
@@ -222,10 +222,10 @@
 }
 
 /// Reads from a side only while there is room for its data and the link isn't frozen.
-auto Link::Private::setReading(const Pair &pair) const -> void
+auto Link::Private::setReading(const ConnectionPair &pair) const -> void
 {
-    for (const Side side : {Near, Far}) {
-        const bool isReady = side == Near || pair.farConnected;
+    for (const Side side : {ClientSide, TargetSide}) {
+        const bool isReady = side == ClientSide || pair.targetConnected;
         if (pair.sockets[side] != nullptr && isReady) {
             const bool reads = !fault.frozen && pair.pipes[side].queued < MaxQueuedBytes;
             lws_rx_flow_control(pair.sockets[side], reads ? 1 : 0);
@@ -233,13 +233,13 @@
     }
 }
 
-auto Link::Private::wakeUp(const Pair &pair) const -> void
+auto Link::Private::wakeUp(const ConnectionPair &pair) const -> void
 {
-    if (pair.sockets[Near] != nullptr) {
-        lws_callback_on_writable(pair.sockets[Near]);
+    if (pair.sockets[ClientSide] != nullptr) {
+        lws_callback_on_writable(pair.sockets[ClientSide]);
     }
-    if (pair.sockets[Far] != nullptr && pair.farConnected) {
-        lws_callback_on_writable(pair.sockets[Far]);
+    if (pair.sockets[TargetSide] != nullptr && pair.targetConnected) {
+        lws_callback_on_writable(pair.sockets[TargetSide]);
     }
 }
 
@@ -251,7 +251,7 @@
     }
 }
 
-auto Link::Private::onWritable(Pair &pair, Side side) -> int
+auto Link::Private::onWritable(ConnectionPair &pair, Side side) -> int
 {
     if (fault.frozen) {
         return 0;
@@ -271,13 +271,13 @@
     return pair.ending && pipe.queue.empty() ? -1 : 0;
 }
 
-auto Link::Private::onClosed(Pair &pair, Side side) -> void
+auto Link::Private::onClosed(ConnectionPair &pair, Side side) -> void
 {
     pair.sockets[side] = nullptr;
     // Where data is lost, the news of the end is lost as well.
-    pair.ending = !swallows(side);
-    if (side == Far && !pair.farConnected && pair.sockets[Near] != nullptr) {
-        lws_set_timeout(pair.sockets[Near], PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
+    pair.ending = !dropsFrom(side);
+    if (side == TargetSide && !pair.targetConnected && pair.sockets[ClientSide] != nullptr) {
+        lws_set_timeout(pair.sockets[ClientSide], PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
     }
     if (pair.sockets[other(side)] == nullptr) {
         pairs.erase(&pair);
@@ -286,7 +286,7 @@
     wakeUp(pair);
 }
 
-auto Link::Private::kill(Pair &pair) -> void
+auto Link::Private::abort(ConnectionPair &pair) -> void
 {
     for (lws *socket : pair.sockets) {
         if (socket != nullptr) {
@@ -295,7 +295,7 @@
     }
 }
 
-auto Link::Private::refill() -> void
+auto Link::Private::refillAllowances() -> void
 {
     if (fault.bytesPerSecond <= 0) {
         return;
@@ -307,11 +307,11 @@
         }
     }
     wakeUpAll();
-    drip = clock.timer(DripPeriod, [this] { refill(); });
+    dripTimer = clock.timer(DripPeriod, [this] { refillAllowances(); });
 }
 
 /// libwebsockets has let go of the virtual host.
-auto Link::Private::forget(lws_vhost * /*vhost*/, void *self) -> void
+auto Link::Private::onVhostDestroyed(lws_vhost * /*vhost*/, void *self) -> void
 {
     delete static_cast<Private *>(self);
 }
@@ -325,7 +325,7 @@
     info.iface = "127.0.0.1";
     info.protocols = d->protocols.data();
     info.user = d.get();
-    info.finalize = &Private::forget;
+    info.finalize = &Private::onVhostDestroyed;
     info.finalize_arg = d.get();
     info.listen_accept_role = "raw-skt";
     info.listen_accept_protocol = "proxy";
@@ -340,9 +340,9 @@
 Link::~Link()
 {
     d->destroyed = true;
-    d->drip.cancel();
+    d->dripTimer.cancel();
     for (auto &[key, pair] : d->pairs) {
-        d->kill(*pair);
+        d->abort(*pair);
     }
     lws_vhost *vhost = d.release()->vhost;
     lws_vhost_destroy(vhost);
@@ -360,7 +360,7 @@
 
 auto Link::answersDropped() const -> std::uint64_t
 {
-    return d->dropped;
+    return d->droppedAnswers;
 }
 
 auto Link::fault() const -> const LinkFault &
@@ -372,19 +372,20 @@
 {
     d->fault = fault;
     for (auto &[key, pair] : d->pairs) {
-        const bool isTorn = (pair->pipes[Near].hasLost && !d->swallows(Near)) || (pair->pipes[Far].hasLost && !d->swallows(Far));
-        if (fault.cut || isTorn) {
-            d->kill(*pair);
+        const bool hasGap
+            = (pair->pipes[ClientSide].hasLostBytes && !d->dropsFrom(ClientSide)) || (pair->pipes[TargetSide].hasLostBytes && !d->dropsFrom(TargetSide));
+        if (fault.cut || hasGap) {
+            d->abort(*pair);
         }
     }
     for (auto &known : d->pairs) {
         auto &pair = *known.second;
         const auto isGone = [&](Side side) {
-            return pair.sockets[side] == nullptr && !d->swallows(side);
+            return pair.sockets[side] == nullptr && !d->dropsFrom(side);
         };
-        pair.ending = pair.ending || isGone(Near) || (isGone(Far) && pair.farConnected);
+        pair.ending = pair.ending || isGone(ClientSide) || (isGone(TargetSide) && pair.targetConnected);
     }
-    d->refill();
+    d->refillAllowances();
     d->wakeUpAll();
 }
 
--- a/fakes/simclock.cpp
+++ b/fakes/simclock.cpp
@@ -45,9 +45,9 @@
     return std::uniform_real_distribution<double>(0.0, 1.0)(m_engine);
 }
 
-auto SimClock::randomDuration(Duration least, Duration most) -> Duration
+auto SimClock::randomDuration(Duration shortest, Duration longest) -> Duration
 {
-    return least + (most - least) * random();
+    return shortest + (longest - shortest) * random();
 }
 
 } // namespace KingCup
--- a/fakes/simclock.h
+++ b/fakes/simclock.h
@@ -32,7 +32,7 @@
     /// Uniform in [0, 1).
     auto random() -> double;
     /// Uniform between both.
-    auto randomDuration(Duration least, Duration most) -> Duration;
+    auto randomDuration(Duration shortest, Duration longest) -> Duration;
 
 private:
     EventLoop &m_loop;
--- a/fakes/tablestore.cpp
+++ b/fakes/tablestore.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr std::size_t MostWritesPerTransaction = 100;
-constexpr std::int64_t MostRowsPerScan = 1000;
+constexpr std::size_t MaxWritesPerTransaction = 100;
+constexpr std::int64_t MaxRowsPerScan = 1000;
 constexpr auto RetryHint = Duration::millis(200);
 
 auto isWellFormed(const Json &op) -> bool
@@ -101,7 +101,7 @@
 
 auto TableStore::handleTransact(const ExchangePtr &exchange) -> void
 {
-    const auto body = bodyOf(exchange);
+    const auto body = parseJsonBody(exchange);
     if (!body) {
         return;
     }
@@ -111,7 +111,7 @@
         return;
     }
     const auto writes = static_cast<std::size_t>(std::count_if(ops.begin(), ops.end(), [](const Json &op) { return op["op"] != "check"; }));
-    if (writes > MostWritesPerTransaction) {
+    if (writes > MaxWritesPerTransaction) {
         answerCode(exchange, Status::BadRequest, "too-many-writes");
         return;
     }
@@ -128,7 +128,7 @@
         const auto answer = transact(body);
         answerJson(to, answer["committed"] == true ? Status::Ok : Status::Conflict, answer);
     };
-    m_faults.pass(std::move(request), m_settings.latency);
+    m_faults.handle(std::move(request), m_settings.latency);
 }
 
 auto TableStore::versionOf(const std::string &key) const -> std::uint64_t
@@ -169,7 +169,7 @@
 
 auto TableStore::handleRead(const ExchangePtr &exchange) -> void
 {
-    const auto body = bodyOf(exchange);
+    const auto body = parseJsonBody(exchange);
     if (!body) {
         return;
     }
@@ -191,7 +191,7 @@
         m_rowsRead += keys.size();
         answerJson(to, Status::Ok, {{"rows", found}});
     };
-    m_faults.pass(std::move(request), m_settings.latency);
+    m_faults.handle(std::move(request), m_settings.latency);
 }
 
 auto TableStore::handleScan(const ExchangePtr &exchange) -> void
@@ -199,7 +199,7 @@
     const auto &query = exchange->request().query;
     const auto prefix = queryValue(query, "prefix");
     const auto after = queryValue(query, "after");
-    const auto limit = std::clamp<std::int64_t>(queryNumber(query, "limit", MostRowsPerScan), 1, MostRowsPerScan);
+    const auto limit = std::clamp<std::int64_t>(queryNumber(query, "limit", MaxRowsPerScan), 1, MaxRowsPerScan);
     if (!m_readLimit.take(1)) {
         ++m_throttled;
         answerRetry(exchange, Status::TooManyRequests, "throttled", RetryHint);
@@ -221,7 +221,7 @@
         m_readLimit.take(static_cast<double>(found.size()));
         answerJson(to, Status::Ok, {{"rows", found}, {"more", more}});
     };
-    m_faults.pass(std::move(request), m_settings.latency);
+    m_faults.handle(std::move(request), m_settings.latency);
 }
 
 } // namespace KingCup
--- a/fakes/weightstore.cpp
+++ b/fakes/weightstore.cpp
@@ -28,9 +28,9 @@
     return m_throttled;
 }
 
-auto WeightStore::mostAtOnce() const -> std::size_t
+auto WeightStore::maxConcurrentLoads() const -> std::size_t
 {
-    return m_mostAtOnce;
+    return m_maxConcurrentLoads;
 }
 
 auto WeightStore::start(std::int64_t bytes, std::function<void()> done) -> std::shared_ptr<WeightLoad>
@@ -50,7 +50,7 @@
     load->done = std::move(done);
     m_running.push_back(load);
     ++m_loads;
-    m_mostAtOnce = std::max(m_mostAtOnce, m_running.size());
+    m_maxConcurrentLoads = std::max(m_maxConcurrentLoads, m_running.size());
     schedule();
     return load;
 }
@@ -91,13 +91,13 @@
         return;
     }
     const double share = std::min(1.0, static_cast<double>(m_settings.parallelLoads) / static_cast<double>(m_running.size()));
-    double least = 1e18;
+    double minRemaining = 1e18;
     for (const auto &weak : m_running) {
         if (const auto load = weak.lock()) {
-            least = std::min(least, load->remaining);
+            minRemaining = std::min(minRemaining, load->remaining);
         }
     }
-    m_next = m_clock.timer(Duration::seconds(std::max(0.0, least) / (m_settings.bytesPerSecond * share)) + Duration::micros(10), [this] {
+    m_next = m_clock.timer(Duration::seconds(std::max(0.0, minRemaining) / (m_settings.bytesPerSecond * share)) + Duration::micros(10), [this] {
         advance();
         schedule();
     });
--- a/fakes/weightstore.h
+++ b/fakes/weightstore.h
@@ -33,7 +33,7 @@
     auto start(std::int64_t bytes, std::function<void()> done) -> std::shared_ptr<WeightLoad>;
     auto loads() const -> std::uint64_t;
     auto throttled() const -> std::uint64_t;
-    auto mostAtOnce() const -> std::size_t;
+    auto maxConcurrentLoads() const -> std::size_t;
 
 private:
     struct Load;
@@ -49,7 +49,7 @@
     Duration m_filledAt;
     std::uint64_t m_loads = 0;
     std::uint64_t m_throttled = 0;
-    std::size_t m_mostAtOnce = 0;
+    std::size_t m_maxConcurrentLoads = 0;
 };
 
 } // namespace KingCup
--- a/load/answercheck.cpp
+++ b/load/answercheck.cpp
@@ -15,16 +15,16 @@
 
 constexpr std::uint64_t TokenHashRange = 0xffff;
 constexpr std::string_view EventEnd = "\n\n";
-constexpr std::string_view DataMark = "data: ";
+constexpr std::string_view DataPrefix = "data: ";
 
 /// The text of the event's data line; empty if it has none.
 auto dataOf(std::string_view event) -> std::string_view
 {
-    const auto at = event.find(DataMark);
+    const auto at = event.find(DataPrefix);
     if (at == std::string_view::npos) {
         return {};
     }
-    const auto data = event.substr(at + DataMark.size());
+    const auto data = event.substr(at + DataPrefix.size());
     return data.substr(0, data.find('\n'));
 }
 
@@ -53,24 +53,24 @@
 
 auto AnswerCheck::feed(std::string_view data) -> int
 {
-    m_rest.append(data);
+    m_partialEvent.append(data);
     int tokens = 0;
     std::size_t from = 0;
-    for (auto at = m_rest.find(EventEnd); at != std::string::npos; at = m_rest.find(EventEnd, from)) {
-        tokens += takeEvent(std::string_view(m_rest).substr(from, at - from));
+    for (auto at = m_partialEvent.find(EventEnd); at != std::string::npos; at = m_partialEvent.find(EventEnd, from)) {
+        tokens += handleEvent(std::string_view(m_partialEvent).substr(from, at - from));
         from = at + EventEnd.size();
     }
-    m_rest.erase(0, from);
+    m_partialEvent.erase(0, from);
     return tokens;
 }
 
-auto AnswerCheck::expected() const -> std::string
+auto AnswerCheck::expectedToken() const -> std::string
 {
     const auto hash = XXH3_64bits_withSeed(&m_next, sizeof m_next, m_seed) & TokenHashRange;
     return std::to_string(m_next) + ":" + std::to_string(hash) + " ";
 }
 
-auto AnswerCheck::takeEvent(std::string_view event) -> int
+auto AnswerCheck::handleEvent(std::string_view event) -> int
 {
     const auto data = dataOf(event);
     if (event.starts_with("event: error")) {
@@ -88,7 +88,7 @@
     if (!parsed.is_object() || !parsed.contains("choices") || parsed["choices"].empty()) {
         return 0;
     }
-    if (parsed["choices"][0].value("text", std::string()) != expected()) {
+    if (parsed["choices"][0].value("text", std::string()) != expectedToken()) {
         m_wrong = true;
         m_problem = "not-the-next-token";
     }
--- a/load/answercheck.h
+++ b/load/answercheck.h
@@ -23,8 +23,8 @@
     auto feed(std::string_view data) -> int;
 
 private:
-    auto takeEvent(std::string_view event) -> int;
-    auto expected() const -> std::string;
+    auto handleEvent(std::string_view event) -> int;
+    auto expectedToken() const -> std::string;
 
     std::uint64_t m_seed = 0;
     int m_tokens = 0;
@@ -32,7 +32,7 @@
     bool m_ended = false;
     bool m_wrong = false;
     std::string m_problem;
-    std::string m_rest; ///< an event that isn't whole yet
+    std::string m_partialEvent; ///< an event that isn't whole yet
 };
 
 } // namespace KingCup
--- a/load/arrivals.cpp
+++ b/load/arrivals.cpp
@@ -65,10 +65,11 @@
         if (m_weights.empty()) {
             return;
         }
-        const auto among = bursts.among == 0 ? m_byRank.size() : std::min<std::size_t>(static_cast<std::size_t>(bursts.among), m_byRank.size());
-        std::uniform_int_distribution<std::size_t> name(0, among - 1);
+        const auto candidates
+            = bursts.candidateNames == 0 ? m_byRank.size() : std::min<std::size_t>(static_cast<std::size_t>(bursts.candidateNames), m_byRank.size());
+        std::uniform_int_distribution<std::size_t> name(0, candidates - 1);
         std::uniform_real_distribution<double> seconds(bursts.shortest.inSeconds(), bursts.longest.inSeconds());
-        for (int slot = 0; slot < bursts.atOnce; ++slot) {
+        for (int slot = 0; slot < bursts.concurrent; ++slot) {
             Duration from;
             while (from < m_end) {
                 const auto to = from + Duration::seconds(seconds(m_random));
@@ -106,14 +107,14 @@
         std::uniform_int_distribution<std::int64_t> within(0, Bin.inMicros() - 1);
         std::uniform_real_distribution<double> share(0, 1);
         for (std::size_t index = 0; index < m_workload.classes.size(); ++index) {
-            const auto &one = m_workload.classes[index];
-            const double expected = one.perSecond * m_workload.rate * dayFactor(at) * (one.isModel ? modelFactor : 1) * Bin.inSeconds();
+            const auto &requestClass = m_workload.classes[index];
+            const double expected = requestClass.perSecond * m_workload.rate * dayFactor(at) * (requestClass.isModel ? modelFactor : 1) * Bin.inSeconds();
             const int count = expected > 0 ? std::poisson_distribution<int>(expected)(m_random) : 0;
             for (int i = 0; i < count; ++i) {
                 Arrival arrival {.at = at + Duration::micros(within(m_random)), .classIndex = index};
-                arrival.name = one.isModel ? drawName(m_random) : 0;
+                arrival.name = requestClass.isModel ? drawName(m_random) : 0;
                 arrival.mayResend = share(m_random) < m_workload.resendShare;
-                arrival.crashesEngine = one.isModel && share(m_random) < m_workload.crashShare;
+                arrival.crashesEngine = requestClass.isModel && share(m_random) < m_workload.crashShare;
                 m_schedule.arrivals.push_back(arrival);
             }
         }
--- a/load/bench/planningbench.cpp
+++ b/load/bench/planningbench.cpp
@@ -83,7 +83,7 @@
         m_input.demand[burst].perSecond *= BurstFactor;
     }
 
-    auto settle(const Plan &surge) -> void
+    auto applyPlans(const Plan &surge) -> void
     {
         for (auto &runner : m_input.runners) {
             runner.residents.clear();
@@ -118,14 +118,14 @@
     print("first floor", {millis([&] { floor = planFloor(input, {}); })});
     std::cout << "  copies " << floor.plan.copies() << ", unplaced " << floor.unplaced.size() << "\n";
     input.floor = floor.plan;
-    cell.settle({});
+    cell.applyPlans({});
     print("floor without change", {millis([&] { floor = planFloor(input, {}); })});
     SurgePlanner planner({});
     std::vector<double> times;
     std::size_t surge = 0;
     for (int round = 0; round < rounds; ++round) {
         cell.setDemand(round);
-        cell.settle(planner.surge());
+        cell.applyPlans(planner.surge());
         const auto before = planner.surge().copies();
         times.push_back(millis([&] { planner.plan(input, input.floor, TimePoint() + Duration::seconds(round)); }));
         surge += planner.surge().copies() - before;
--- a/load/caller.cpp
+++ b/load/caller.cpp
@@ -16,7 +16,7 @@
 using json = nlohmann::json;
 
 constexpr auto Tick = Duration::millis(5); // libwebsockets spins through the last millisecond before a timer: shorter ticks cost a core
-constexpr auto PatienceAfterBudget = Duration::seconds(10); ///< then the caller hangs up
+constexpr auto HangUpAfterBudget = Duration::seconds(10); ///< then the caller hangs up
 constexpr std::size_t CharsPerToken = 4; ///< as the stand-ins count
 constexpr int Accounts = 100000;
 
@@ -33,12 +33,12 @@
 using CallPtr = std::shared_ptr<Call>;
 
 struct Pending {
-    int open = 0; ///< calls under way
+    int callsInFlight = 0; ///< calls under way
     bool answeredNotRun = true; ///< by all calls so far
     Timer resend;
 };
 
-auto fillIn(std::string text, const std::string &mark, const std::string &value) -> std::string
+auto replaceAll(std::string text, const std::string &mark, const std::string &value) -> std::string
 {
     for (auto at = text.find(mark); at != std::string::npos; at = text.find(mark, at + value.size())) {
         text.replace(at, mark.size(), value);
@@ -47,7 +47,7 @@
 }
 
 /// `tokens` tokens of text that begins with `start`.
-auto textOf(const std::string &start, int tokens) -> std::string
+auto repeatedText(const std::string &start, int tokens) -> std::string
 {
     std::string text = start;
     const auto size = static_cast<std::size_t>(std::max(tokens, 0)) * CharsPerToken;
@@ -60,18 +60,18 @@
 
 } // namespace
 
-auto toString(SeenEnd end) -> const char *
+auto toString(ObservedOutcome outcome) -> const char *
 {
-    switch (end) {
-    case SeenEnd::None:
+    switch (outcome) {
+    case ObservedOutcome::None:
         return "none";
-    case SeenEnd::Whole:
+    case ObservedOutcome::Whole:
         return "whole";
-    case SeenEnd::Wrong:
+    case ObservedOutcome::Wrong:
         return "wrong";
-    case SeenEnd::Refused:
+    case ObservedOutcome::Refused:
         return "refused";
-    case SeenEnd::Unknown:
+    case ObservedOutcome::Unknown:
         return "unknown";
     }
     return "";
@@ -88,7 +88,7 @@
     std::unordered_map<std::size_t, Pending> pending;
     std::size_t next = 0;
     TimePoint startedAt;
-    Duration latestStart;
+    Duration maxSendDelay;
     Timer ticks;
     std::function<void()> done;
 
@@ -118,11 +118,11 @@
     auto send(std::size_t index, std::size_t entry) -> void;
     auto prompt(const Record &record) const -> std::string;
     auto prepare(const Record &record, HttpCall &call) const -> void;
-    auto planResend(std::size_t index, std::size_t entry) -> void;
+    auto scheduleResend(std::size_t index, std::size_t entry) -> void;
     auto onData(const CallPtr &call, std::string_view data) -> void;
     auto onToken(const CallPtr &call) -> void;
     auto onEnd(const CallPtr &call, CallEnd end) -> void;
-    auto judge(const CallPtr &call, CallEnd end, std::string &code) const -> SeenEnd;
+    auto classify(const CallPtr &call, CallEnd end, std::string &code) const -> ObservedOutcome;
     auto finishIfDone() -> void;
 };
 
@@ -130,25 +130,25 @@
 {
     const auto passed = loop.now() - startedAt;
     while (next < schedule.arrivals.size() && schedule.arrivals[next].at <= passed) {
-        latestStart = std::max(latestStart, passed - schedule.arrivals[next].at);
+        maxSendDelay = std::max(maxSendDelay, passed - schedule.arrivals[next].at);
         records.push_back(Record {.arrival = schedule.arrivals[next]});
         const auto entry = next % options.entries.size();
         pending[next] = {};
         send(next, entry);
-        planResend(next, entry);
+        scheduleResend(next, entry);
         ++next;
     }
     finishIfDone();
 }
 
-auto Caller::Private::planResend(std::size_t index, std::size_t entry) -> void
+auto Caller::Private::scheduleResend(std::size_t index, std::size_t entry) -> void
 {
     const auto &record = records[index];
     if (!record.arrival.mayResend || options.entries.size() < 2) {
         return;
     }
-    const auto &one = classOf(record);
-    const auto deadline = one.whole.inMicros() > 0 ? one.whole : one.budget;
+    const auto &requestClass = classOf(record);
+    const auto deadline = requestClass.whole.inMicros() > 0 ? requestClass.whole : requestClass.budget;
     pending[index].resend = loop.after(deadline, [this, index, entry] {
         records[index].wasResent = true;
         send(index, (entry + 1) % options.entries.size());
@@ -157,33 +157,35 @@
 
 auto Caller::Private::prompt(const Record &record) const -> std::string
 {
-    const auto &one = classOf(record);
+    const auto &requestClass = classOf(record);
     const auto number = std::to_string(record.arrival.number);
-    const auto shared = textOf("shared " + one.name + " " + options.names[record.arrival.name], one.sharedTokens);
-    const auto own = textOf((record.arrival.crashesEngine ? "crash-me " : "own ") + options.runId + " " + number, one.promptTokens - one.sharedTokens);
+    const auto shared = repeatedText("shared " + requestClass.name + " " + options.names[record.arrival.name], requestClass.sharedTokens);
+    const auto own = repeatedText((record.arrival.crashesEngine ? "crash-me " : "own ") + options.runId + " " + number,
+                                  requestClass.promptTokens - requestClass.sharedTokens);
     return shared + own;
 }
 
 auto Caller::Private::prepare(const Record &record, HttpCall &call) const -> void
 {
-    const auto &one = classOf(record);
+    const auto &requestClass = classOf(record);
     const auto number = std::to_string(record.arrival.number % Accounts);
-    call.headers = {{"kingcup-priority", toString(one.priority)}, {"kingcup-time-budget-ms", std::to_string(one.budget.inMillis())}};
-    if (one.isModel) {
+    call.headers = {{"kingcup-priority", toString(requestClass.priority)}, {"kingcup-time-budget-ms", std::to_string(requestClass.budget.inMillis())}};
+    if (requestClass.isModel) {
         call.method = "POST";
         call.path = "/v1/completions";
         call.headers.push_back({"content-type", "application/json"});
-        const json body {{"model", options.names[record.arrival.name]}, {"prompt", prompt(record)}, {"max_tokens", one.outputTokens}, {"stream", true}};
+        const json body {
+            {"model", options.names[record.arrival.name]}, {"prompt", prompt(record)}, {"max_tokens", requestClass.outputTokens}, {"stream", true}};
         call.body = body.dump();
         return;
     }
-    call.method = one.method;
-    call.path = fillIn(one.path, "{n}", number);
-    call.body = fillIn(fillIn(one.body, "{n}", number), "{key}", key(record.arrival));
+    call.method = requestClass.method;
+    call.path = replaceAll(requestClass.path, "{n}", number);
+    call.body = replaceAll(replaceAll(requestClass.body, "{n}", number), "{key}", key(record.arrival));
     if (!call.body.empty()) {
         call.headers.push_back({"content-type", "application/json"});
     }
-    if (one.runsOnce) {
+    if (requestClass.runsOnce) {
         call.headers.push_back({"idempotency-key", key(record.arrival)});
     }
 }
@@ -191,16 +193,16 @@
 auto Caller::Private::send(std::size_t index, std::size_t entry) -> void
 {
     const auto &record = records[index];
-    const auto &one = classOf(record);
+    const auto &requestClass = classOf(record);
     auto call = std::make_shared<Call>();
     call->record = index;
-    call->isStream = one.isModel;
-    if (one.isModel) {
-        call->check = AnswerCheck(options.artifacts[record.arrival.name], prompt(record), one.outputTokens);
+    call->isStream = requestClass.isModel;
+    if (requestClass.isModel) {
+        call->check = AnswerCheck(options.artifacts[record.arrival.name], prompt(record), requestClass.outputTokens);
     }
     HttpCall http;
     http.server = options.entries[entry];
-    http.timeout = one.budget + PatienceAfterBudget;
+    http.timeout = requestClass.budget + HangUpAfterBudget;
     http.keptHeaders = {"kingcup-outcome"};
     prepare(record, http);
     http.onHead = [call](int status, const HttpHeaders &headers) {
@@ -214,7 +216,7 @@
     http.onEnd = [this, call](CallEnd end) {
         onEnd(call, end);
     };
-    ++pending[index].open;
+    ++pending[index].callsInFlight;
     client.start(std::move(http));
 }
 
@@ -241,7 +243,7 @@
         const auto gap = now - call->lastToken;
         const auto limit = classOf(record).gap;
         ++record.gaps;
-        record.gapsKept += gap <= limit ? 1 : 0;
+        record.gapsWithinLimit += gap <= limit ? 1 : 0;
         if (record.arrival.at >= workload.warmup) {
             gaps[record.arrival.classIndex].push_back(static_cast<std::uint32_t>(gap.inMicros()));
         }
@@ -249,45 +251,48 @@
     call->lastToken = now;
 }
 
-auto Caller::Private::judge(const CallPtr &call, CallEnd end, std::string &code) const -> SeenEnd
+auto Caller::Private::classify(const CallPtr &call, CallEnd end, std::string &code) const -> ObservedOutcome
 {
     if (end == CallEnd::NotSent) {
         code = "entry-unreachable";
-        return SeenEnd::Refused;
+        return ObservedOutcome::Refused;
     }
     const bool isGood = HttpStatus::isSuccess(call->status);
     if (isGood && call->isStream) {
         code = call->check.problem();
-        return call->check.isWrong() ? SeenEnd::Wrong : call->check.isWhole() && end == CallEnd::Complete ? SeenEnd::Whole : SeenEnd::Unknown;
+        return call->check.isWrong()                            ? ObservedOutcome::Wrong
+            : call->check.isWhole() && end == CallEnd::Complete ? ObservedOutcome::Whole
+                                                                : ObservedOutcome::Unknown;
     }
     if (end != CallEnd::Complete) {
         code = toString(end);
-        return SeenEnd::Unknown;
+        return ObservedOutcome::Unknown;
     }
     if (isGood) {
-        return SeenEnd::Whole;
+        return ObservedOutcome::Whole;
     }
     const auto body = json::parse(call->body, nullptr, false);
     code = body.is_object() ? body.value("code", std::to_string(call->status)) : std::to_string(call->status);
-    return call->outcome == "not-run" ? SeenEnd::Refused : SeenEnd::Unknown;
+    return call->outcome == "not-run" ? ObservedOutcome::Refused : ObservedOutcome::Unknown;
 }
 
 auto Caller::Private::onEnd(const CallPtr &call, CallEnd end) -> void
 {
     auto &record = records[call->record];
-    auto &open = pending[call->record];
+    auto &state = pending[call->record];
     std::string code;
-    const auto seen = judge(call, end, code);
-    open.answeredNotRun = open.answeredNotRun && seen == SeenEnd::Refused;
-    --open.open;
-    const bool isBetter = record.end != SeenEnd::Whole && (seen == SeenEnd::Whole || seen == SeenEnd::Wrong || open.open == 0);
+    const auto seen = classify(call, end, code);
+    state.answeredNotRun = state.answeredNotRun && seen == ObservedOutcome::Refused;
+    --state.callsInFlight;
+    const bool isBetter
+        = record.outcome != ObservedOutcome::Whole && (seen == ObservedOutcome::Whole || seen == ObservedOutcome::Wrong || state.callsInFlight == 0);
     if (isBetter) {
-        record.end = seen;
+        record.outcome = seen;
         record.code = code;
         record.whole = sinceIntended(record);
     }
-    if (open.open == 0) {
-        record.saidNotRun = open.answeredNotRun;
+    if (state.callsInFlight == 0) {
+        record.saidNotRun = state.answeredNotRun;
         pending.erase(call->record); // with it a sending again that was planned: the caller has its answer
         finishIfDone();
     }
@@ -328,9 +333,9 @@
     return d->pending.size();
 }
 
-auto Caller::latestStart() const -> Duration
+auto Caller::maxSendDelay() const -> Duration
 {
-    return d->latestStart;
+    return d->maxSendDelay;
 }
 
 auto Caller::start(std::function<void()> done) -> void
--- a/load/caller.h
+++ b/load/caller.h
@@ -21,23 +21,23 @@
 // [SECTION] Records
 
 /// How the caller saw the end, from the entry's word and the answer itself.
-enum class SeenEnd {
+enum class ObservedOutcome {
     None, ///< no answer by the end of the run
     Whole, ///< with its end marker, and its own
     Wrong, ///< another request's answer, out of order, or with parts missing
     Refused, ///< said to be not run
     Unknown, ///< said to be unknown, or cut off
 };
-auto toString(SeenEnd end) -> const char *;
+auto toString(ObservedOutcome outcome) -> const char *;
 
 struct Record {
     Arrival arrival;
-    SeenEnd end = SeenEnd::None;
+    ObservedOutcome outcome = ObservedOutcome::None;
     std::string code; ///< of a refusal or error
     Duration firstToken; ///< from the intended send time; 0: none came
     Duration whole; ///< from the intended send time to the end
     int gaps = 0;
-    int gapsKept = 0; ///< no longer than the class's limit
+    int gapsWithinLimit = 0; ///< no longer than the class's limit
     bool wasResent = false;
     bool saidNotRun = false; ///< every answer said so
 };
@@ -64,7 +64,7 @@
     auto gaps(std::size_t classIndex) const -> const Gaps &;
     auto keyOf(const Arrival &arrival) const -> std::string;
     auto inFlight() const -> std::size_t;
-    auto latestStart() const -> Duration; ///< the most that a request was sent after its time: this tool's own lag
+    auto maxSendDelay() const -> Duration; ///< the most that a request was sent after its time: this tool's own lag
 
     /// Starts the run; `done` is called when every request has ended.
     auto start(std::function<void()> done) -> void;
--- a/load/pathcost/main.cpp
+++ b/load/pathcost/main.cpp
@@ -21,12 +21,12 @@
 using namespace KingCup;
 
 constexpr int Rounds = 10; // of each kind
-constexpr int LeastArguments = 7;
+constexpr int MinArguments = 7;
 constexpr double Median = 0.5;
 constexpr double Tail = 0.99;
 constexpr double MicrosPerMilli = 1000;
 
-struct Way {
+struct CallPath {
     Endpoint server;
     std::string path;
     std::vector<double> millis; // of each request
@@ -58,10 +58,10 @@
 class Round
 {
 public:
-    Round(EventLoop &loop, HttpClient &client, Way &way, int requests)
+    Round(EventLoop &loop, HttpClient &client, CallPath &callPath, int requests)
         : m_loop(loop)
         , m_client(client)
-        , m_way(way)
+        , m_callPath(callPath)
         , m_toSend(requests)
         , m_open(requests)
     {
@@ -73,7 +73,7 @@
             next();
         }
         m_loop.runUntil([&] { return m_open == 0; }, Duration::seconds(600));
-        m_way.seconds += (m_loop.now() - start).inSeconds();
+        m_callPath.seconds += (m_loop.now() - start).inSeconds();
     }
 
 private:
@@ -84,18 +84,18 @@
         }
         --m_toSend;
         const auto start = m_loop.now();
-        HttpCall call {.server = m_way.server, .path = m_way.path};
+        HttpCall call {.server = m_callPath.server, .path = m_callPath.path};
         startShortCall(m_client, std::move(call), [this, start](const HttpAnswer &answer) {
             --m_open;
-            m_way.millis.push_back(static_cast<double>((m_loop.now() - start).inMicros()) / MicrosPerMilli);
-            m_way.failed += answer.end == CallEnd::Complete && answer.status == 200 ? 0 : 1;
+            m_callPath.millis.push_back(static_cast<double>((m_loop.now() - start).inMicros()) / MicrosPerMilli);
+            m_callPath.failed += answer.end == CallEnd::Complete && answer.status == 200 ? 0 : 1;
             next();
         });
     }
 
     EventLoop &m_loop;
     HttpClient &m_client;
-    Way &m_way;
+    CallPath &m_callPath;
     int m_toSend;
     int m_open;
 };
@@ -106,17 +106,17 @@
     return values.empty() ? 0 : values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-auto print(const char *name, const Way &way) -> void
+auto print(const char *name, const CallPath &callPath) -> void
 {
-    const auto count = static_cast<double>(way.millis.size());
+    const auto count = static_cast<double>(callPath.millis.size());
     std::printf("%-8s requests=%.0f failed=%d p50=%.3f ms p99=%.3f ms rate=%.0f/s cpu=%.1f us/request\n",
                 name,
                 count,
-                way.failed,
-                quantile(way.millis, Median),
-                quantile(way.millis, Tail),
-                count / way.seconds,
-                way.cpuSeconds / count * 1e6);
+                callPath.failed,
+                quantile(callPath.millis, Median),
+                quantile(callPath.millis, Tail),
+                count / callPath.seconds,
+                callPath.cpuSeconds / count * 1e6);
 }
 
 } // namespace
@@ -124,22 +124,22 @@
 auto main(int argc, char **argv) -> int
 {
     const std::vector<std::string> arguments(argv, argv + argc);
-    if (argc < LeastArguments) {
+    if (argc < MinArguments) {
         std::cerr << "usage: kingcup-pathcost DIRECT-IP:PORT DIRECT-PATH ENTRY-IP:PORT ENTRY-PATH REQUESTS CALLERS [PID...]\n";
         return 2;
     }
-    Way direct {endpointFromString(arguments[1]), arguments[2], {}};
-    Way indirect {endpointFromString(arguments[3]), arguments[4], {}};
+    CallPath direct {endpointFromString(arguments[1]), arguments[2], {}};
+    CallPath indirect {endpointFromString(arguments[3]), arguments[4], {}};
     const int requests = std::stoi(arguments[5]) / Rounds;
     const int callers = std::stoi(arguments[6]);
-    const std::vector<std::string> pids(arguments.begin() + LeastArguments, arguments.end());
+    const std::vector<std::string> pids(arguments.begin() + MinArguments, arguments.end());
     EventLoop loop;
     HttpClient client(loop);
     for (int round = 0; round < Rounds; ++round) {
-        for (auto *way : {&direct, &indirect}) {
+        for (auto *callPath : {&direct, &indirect}) {
             const double before = cpuSecondsOf(pids);
-            Round(loop, client, *way, requests).run(callers);
-            way->cpuSeconds += cpuSecondsOf(pids) - before;
+            Round(loop, client, *callPath, requests).run(callers);
+            callPath->cpuSeconds += cpuSecondsOf(pids) - before;
         }
     }
     print("direct", direct);
--- a/load/report.cpp
+++ b/load/report.cpp
@@ -33,15 +33,15 @@
     std::map<std::string, int> codes;
 };
 
-auto isInTime(const RequestClass &one, const Record &record) -> bool
+auto isInTime(const RequestClass &requestClass, const Record &record) -> bool
 {
-    if (one.whole.inMicros() > 0 && record.whole > one.whole) {
+    if (requestClass.whole.inMicros() > 0 && record.whole > requestClass.whole) {
         return false;
     }
-    if (one.firstToken.inMicros() > 0 && record.firstToken > one.firstToken) {
+    if (requestClass.firstToken.inMicros() > 0 && record.firstToken > requestClass.firstToken) {
         return false;
     }
-    return one.gap.inMicros() == 0 || record.gapsKept >= GapShare * record.gaps;
+    return requestClass.gap.inMicros() == 0 || record.gapsWithinLimit >= GapShare * record.gaps;
 }
 
 /// How often the request with that key ran, by the stand-ins.
@@ -60,37 +60,37 @@
     return count;
 }
 
-auto add(Tally &tally, const RequestClass &one, const Record &record, int ran) -> void
+auto add(Tally &tally, const RequestClass &requestClass, const Record &record, int ran) -> void
 {
     ++tally.sent;
     tally.resent += record.wasResent ? 1 : 0;
     if (record.firstToken.inMicros() > 0) {
         tally.firstToken.push_back(static_cast<double>(record.firstToken.inMicros()) / MicrosPerMilli);
     }
-    if (record.end == SeenEnd::Whole) {
+    if (record.outcome == ObservedOutcome::Whole) {
         tally.whole.push_back(static_cast<double>(record.whole.inMicros()) / MicrosPerMilli);
     }
-    const auto code = record.end == SeenEnd::None ? std::string("still-open") : record.code;
+    const auto code = record.outcome == ObservedOutcome::None ? std::string("still-open") : record.code;
     if (!code.empty()) {
         ++tally.codes[code];
     }
-    const bool isDoubled = one.runsOnce && ran > 1;
-    const bool isLost = one.runsOnce && record.end == SeenEnd::Whole && ran == 0;
+    const bool isDoubled = requestClass.runsOnce && ran > 1;
+    const bool isLost = requestClass.runsOnce && record.outcome == ObservedOutcome::Whole && ran == 0;
     tally.doubled += isDoubled ? 1 : 0;
     tally.lost += isLost ? 1 : 0;
-    tally.falseNotRun += one.runsOnce && record.saidNotRun && ran > 0 ? 1 : 0;
-    switch (record.end) {
-    case SeenEnd::Whole:
-        ++(isInTime(one, record) && !isDoubled && !isLost ? tally.inTime : tally.late);
+    tally.falseNotRun += requestClass.runsOnce && record.saidNotRun && ran > 0 ? 1 : 0;
+    switch (record.outcome) {
+    case ObservedOutcome::Whole:
+        ++(isInTime(requestClass, record) && !isDoubled && !isLost ? tally.inTime : tally.late);
         break;
-    case SeenEnd::Wrong:
+    case ObservedOutcome::Wrong:
         ++tally.wrong;
         break;
-    case SeenEnd::Refused:
+    case ObservedOutcome::Refused:
         ++tally.refused;
         break;
-    case SeenEnd::None:
-    case SeenEnd::Unknown:
+    case ObservedOutcome::None:
+    case ObservedOutcome::Unknown:
         ++tally.unknown;
         break;
     }
@@ -147,15 +147,15 @@
     return out.str();
 }
 
-auto row(const std::string &name, const json &one) -> std::string
+auto row(const std::string &name, const json &classReport) -> std::string
 {
     std::ostringstream out;
     out << std::left << std::setw(NameWidth) << name << std::right;
     for (const auto *column : {"sent", "inTime", "late", "refused", "unknown", "wrong", "doubled", "lost", "falseNotRun"}) {
-        out << cell(one[column]);
+        out << cell(classReport[column]);
     }
     for (const auto *times : {"firstTokenMs", "gapMs", "wholeMs"}) {
-        const auto found = one.value(times, json::object());
+        const auto found = classReport.value(times, json::object());
         out << cell(found.value("p50", json())) << cell(found.value("p95", json())) << cell(found.value("p99", json()));
     }
     return out.str() + "\n";
@@ -171,17 +171,17 @@
         if (record.arrival.at < workload.warmup) {
             continue;
         }
-        const auto &one = workload.classes[record.arrival.classIndex];
-        const int ran = one.runsOnce ? executions(truth.after, caller.keyOf(record.arrival)) : 0;
-        add(tallies[record.arrival.classIndex], one, record, ran);
-        add(total, one, record, ran);
+        const auto &requestClass = workload.classes[record.arrival.classIndex];
+        const int ran = requestClass.runsOnce ? executions(truth.after, caller.keyOf(record.arrival)) : 0;
+        add(tallies[record.arrival.classIndex], requestClass, record, ran);
+        add(total, requestClass, record, ran);
     }
     json report;
     for (std::size_t i = 0; i < tallies.size(); ++i) {
-        auto &one = report["classes"][workload.classes[i].name] = jsonOf(tallies[i]);
-        one["firstTokenMs"] = percentiles(tallies[i].firstToken, 1);
-        one["gapMs"] = percentiles(caller.gaps(i), MicrosPerMilli);
-        one["wholeMs"] = percentiles(tallies[i].whole, 1);
+        auto &classReport = report["classes"][workload.classes[i].name] = jsonOf(tallies[i]);
+        classReport["firstTokenMs"] = percentiles(tallies[i].firstToken, 1);
+        classReport["gapMs"] = percentiles(caller.gaps(i), MicrosPerMilli);
+        classReport["wholeMs"] = percentiles(tallies[i].whole, 1);
     }
     report["total"] = jsonOf(total);
     const double seconds = workload.duration.inSeconds();
@@ -192,7 +192,7 @@
     report["moves"] = difference(truth, "loads");
     report["crashes"] = difference(truth, "crashes");
     report["overcommits"] = difference(truth, "overcommits");
-    report["toolLagMs"] = caller.latestStart().inMillis();
+    report["toolLagMs"] = caller.maxSendDelay().inMillis();
     report["seed"] = workload.seed;
     report["rate"] = workload.rate;
     return report;
@@ -209,15 +209,15 @@
         out << std::setw(NumberWidth) << (std::string(times) + "50") << std::setw(NumberWidth) << "95" << std::setw(NumberWidth) << "99";
     }
     out << "\n";
-    for (const auto &[name, one] : report["classes"].items()) {
-        out << row(name, one);
+    for (const auto &[name, classReport] : report["classes"].items()) {
+        out << row(name, classReport);
     }
     out << row("total", report["total"]);
     out << std::fixed << std::setprecision(3) << "attainment per accelerator " << report["attainment"].get<double>() << "/s over " << report["accelerators"]
         << " accelerators, on time " << report["onTimeShare"].get<double>() << ", moves " << report["moves"] << ", crashes " << report["crashes"]
         << ", overcommits " << report["overcommits"] << ", this tool's own lag at most " << report["toolLagMs"] << " ms\n";
-    for (const auto &[name, one] : report["classes"].items()) {
-        for (const auto &[code, count] : one["codes"].items()) {
+    for (const auto &[name, classReport] : report["classes"].items()) {
+        for (const auto &[code, count] : classReport["codes"].items()) {
             out << "  " << name << " " << code << " " << count << "\n";
         }
     }
--- a/load/workload.cpp
+++ b/load/workload.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr double Most = 1e9;
+constexpr double MaxValue = 1e9;
 constexpr double MicrosPerMilli = 1000;
 
 /// Reads one value; answers with what is wrong, or nothing.
@@ -22,7 +22,7 @@
 auto readNumber(double &target, double factor = 1) -> Reader
 {
     return [&target, factor](const std::string &text) {
-        const auto parsed = parseDecimal(text, 0, Most);
+        const auto parsed = parseDecimal(text, 0, MaxValue);
         target = parsed.value * factor;
         return parsed.error;
     };
@@ -31,7 +31,7 @@
 auto readInteger(int &target) -> Reader
 {
     return [&target](const std::string &text) {
-        const auto parsed = parseInteger(text, 0, static_cast<std::int64_t>(Most));
+        const auto parsed = parseInteger(text, 0, static_cast<std::int64_t>(MaxValue));
         target = static_cast<int>(parsed.value);
         return parsed.error;
     };
@@ -40,7 +40,7 @@
 auto readSeconds(Duration &target) -> Reader
 {
     return [&target](const std::string &text) {
-        const auto parsed = parseDecimal(text, 0, Most);
+        const auto parsed = parseDecimal(text, 0, MaxValue);
         target = Duration::seconds(parsed.value);
         return parsed.error;
     };
@@ -49,7 +49,7 @@
 auto readMillis(Duration &target) -> Reader
 {
     return [&target](const std::string &text) {
-        const auto parsed = parseDecimal(text, 0, Most);
+        const auto parsed = parseDecimal(text, 0, MaxValue);
         target = Duration::micros(static_cast<std::int64_t>(parsed.value * MicrosPerMilli));
         return parsed.error;
     };
@@ -90,22 +90,22 @@
     };
 }
 
-auto readersOf(RequestClass &one) -> Readers
+auto readersOf(RequestClass &requestClass) -> Readers
 {
-    return {{"kind", readKind(one.isModel)},
-            {"priority", readPriority(one.priority)},
-            {"per-second", readNumber(one.perSecond)},
-            {"method", readText(one.method)},
-            {"path", readText(one.path)},
-            {"body", readText(one.body)},
-            {"once", readFlag(one.runsOnce)},
-            {"prompt-tokens", readInteger(one.promptTokens)},
-            {"shared-tokens", readInteger(one.sharedTokens)},
-            {"output-tokens", readInteger(one.outputTokens)},
-            {"first-token-ms", readMillis(one.firstToken)},
-            {"gap-ms", readMillis(one.gap)},
-            {"whole-ms", readMillis(one.whole)},
-            {"budget-ms", readMillis(one.budget)}};
+    return {{"kind", readKind(requestClass.isModel)},
+            {"priority", readPriority(requestClass.priority)},
+            {"per-second", readNumber(requestClass.perSecond)},
+            {"method", readText(requestClass.method)},
+            {"path", readText(requestClass.path)},
+            {"body", readText(requestClass.body)},
+            {"once", readFlag(requestClass.runsOnce)},
+            {"prompt-tokens", readInteger(requestClass.promptTokens)},
+            {"shared-tokens", readInteger(requestClass.sharedTokens)},
+            {"output-tokens", readInteger(requestClass.outputTokens)},
+            {"first-token-ms", readMillis(requestClass.firstToken)},
+            {"gap-ms", readMillis(requestClass.gap)},
+            {"whole-ms", readMillis(requestClass.whole)},
+            {"budget-ms", readMillis(requestClass.budget)}};
 }
 
 auto readersOf(const std::string &section, Workload &load) -> Readers
@@ -113,7 +113,7 @@
     if (section == "run") {
         return {{"seed",
                  [&load](const std::string &text) {
-                     const auto parsed = parseInteger(text, 0, static_cast<std::int64_t>(Most));
+                     const auto parsed = parseInteger(text, 0, static_cast<std::int64_t>(MaxValue));
                      load.seed = static_cast<std::uint64_t>(parsed.value);
                      return parsed.error;
                  }},
@@ -126,11 +126,11 @@
         return {{"zipf", readNumber(load.zipf)}};
     }
     if (section == "bursts") {
-        return {{"at-once", readInteger(load.bursts.atOnce)},
+        return {{"at-once", readInteger(load.bursts.concurrent)},
                 {"factor", readNumber(load.bursts.factor)},
                 {"shortest-s", readSeconds(load.bursts.shortest)},
                 {"longest-s", readSeconds(load.bursts.longest)},
-                {"among", readInteger(load.bursts.among)}};
+                {"among", readInteger(load.bursts.candidateNames)}};
     }
     if (section == "day") {
         return {{"period-s", readSeconds(load.dayPeriod)}, {"amplitude", readNumber(load.dayAmplitude)}};
@@ -164,9 +164,9 @@
     const std::string faultPrefix = "fault ";
     for (const auto &section : file.value.sections) {
         if (section.name.starts_with(classPrefix)) {
-            auto &one = result.value.classes.emplace_back();
-            one.name = section.name.substr(classPrefix.size());
-            readSection(section, readersOf(one), path, result.findings);
+            auto &requestClass = result.value.classes.emplace_back();
+            requestClass.name = section.name.substr(classPrefix.size());
+            readSection(section, readersOf(requestClass), path, result.findings);
         } else if (section.name.starts_with(faultPrefix)) {
             auto &fault = result.value.faults.emplace_back();
             fault.name = section.name.substr(faultPrefix.size());
--- a/load/workload.h
+++ b/load/workload.h
@@ -48,11 +48,11 @@
 };
 
 struct Bursts {
-    int atOnce = 0;
+    int concurrent = 0;
     double factor = 10;
     Duration shortest = Duration::seconds(20);
     Duration longest = Duration::seconds(180);
-    int among = 0; ///< 0: all names
+    int candidateNames = 0; ///< 0: all names
 };
 
 struct PlannedFault {
