--- a/fakes/answers.h
+++ b/fakes/answers.h
@@ -1,4 +1,4 @@
-// Short JSON answers, and reading queries: shared by all stand-ins.
+// Helpers of all fakes: JSON answers, request bodies and query parameters.
 #pragma once
 
 #include "net/http.h"
@@ -29,13 +29,13 @@
 } // namespace Status
 
 auto answerJson(const ExchangePtr &exchange, int status, const Json &body, HttpHeaders headers = {}) -> void;
-/// `{"code":CODE}`
+/// Answers with the body `{"code":CODE}`.
 auto answerCode(const ExchangePtr &exchange, int status, const std::string &code) -> void;
-/// 429 or 503 with a hint when to come back: certainly without effect.
+/// Answers 429 or 503 with a retry-after hint; the request had no effect.
 auto answerRetry(const ExchangePtr &exchange, int status, const std::string &code, Duration retryAfter) -> void;
-/// The body as a JSON object; answers 400 by itself and returns nothing if it isn't one.
+/// The body as a JSON object. If it isn't one, answers 400 and returns nothing.
 auto parseJsonBody(const ExchangePtr &exchange) -> std::optional<Json>;
-/// Wraps a handler so that values of an unexpected type in a body are answered with 400 and don't end the process.
+/// Wraps a handler so that a body with values of an unexpected type is answered with 400 instead of ending the process.
 auto guarded(HttpServer::Handler handler) -> HttpServer::Handler;
 /// A value of the query, percent-decoded; empty if absent.
 auto queryValue(const std::string &query, const std::string &name) -> std::string;
--- a/fakes/engine.cpp
+++ b/fakes/engine.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr auto ReportsKept = Duration::seconds(5);
-constexpr std::size_t SlowReaderBytes = 64U << 10U; // a stream with more untaken bytes gains no tokens
+constexpr std::size_t SlowReaderBytes = 64U << 10U; // a stream with more unsent bytes gains no tokens
 constexpr int DefaultOutputTokens = 16;
 
 /// One completion's answer, built up token by token.
@@ -24,7 +24,7 @@
     std::string prompt;
     int firstIndex = 0;
     int outputTokens = 0;
-    std::string text; // where it isn't streamed
+    std::string text; // of an answer that isn't streamed
 
     auto piece(int index) const -> Json
     {
@@ -75,7 +75,7 @@
     }
 };
 
-/// All text of the prompt, of either interface.
+/// The prompt text of a completion request or of a chat request.
 auto promptOf(const Json &body, bool chat) -> std::string
 {
     if (!chat) {
@@ -194,7 +194,7 @@
     m_memory.clear();
     m_reports.clear();
     m_fence = 0;
-    // The crash may come from within a callback of this very server.
+    // crash() may be called from a callback of this server, so the server is destroyed later.
     m_clock.loop().post([this] { m_server.reset(); });
     m_clock.after(m_settings.restartDelay, [this] { listen(); });
 }
@@ -232,7 +232,7 @@
     }
 }
 
-/// An order travels for a while; it may be lost, or come late, or its answer may be lost. It dies with this life of the engine.
+/// Applies the order after a random delay. The order may be lost or late, or its answer may be lost. A crash of the engine drops pending orders.
 auto Engine::handleOrder(const ExchangePtr &exchange) -> void
 {
     const auto order = parseJsonBody(exchange);
@@ -302,7 +302,7 @@
         answerCode(exchange, Status::Conflict, "base-not-resident");
         return;
     }
-    // Two loads may carry one id (a repeated order): each is a charge of its own.
+    // A repeated order has the same id; its load is a separate charge.
     const auto charge = m_loads.count(id) == 0 ? id : id + "#" + std::to_string(m_loadsBegun);
     auto load = m_weights.start(bytes, [this, charge] {
         m_memory.finishLoad(charge);
@@ -373,7 +373,7 @@
                 {"waiting", m_batch.waiting()}});
 }
 
-/// Notes the state of now, for later load reports.
+/// Records the present state for later load reports.
 auto Engine::record() -> void
 {
     const auto now = m_clock.now();
@@ -383,7 +383,7 @@
     }
 }
 
-/// A report is published every `reportPeriod` and describes the state `reportLag` before that.
+/// A report is published every `reportPeriod` and describes the state `reportLag` earlier.
 auto Engine::handleLoad(const ExchangePtr &exchange) -> void
 {
     const auto now = m_clock.now();
--- a/fakes/engine.h
+++ b/fakes/engine.h
@@ -1,6 +1,6 @@
-// A model engine stand-in: one accelerator, orders, completions, load reports and crashes, as docs/PROTOCOLS.md describes them.
+// Fake model engine with one accelerator: orders, completions, load reports and crashes, as docs/PROTOCOLS.md describes them.
 //
-// The answer to a completion follows from its prompt: see tokenText(). So a test can tell whether an answer is whole, in order and its own.
+// The text of a completion is a function of its prompt (see tokenText()), so a test can verify that an answer is complete, in order and belongs to its prompt.
 #pragma once
 
 #include "enginebatch.h"
@@ -19,14 +19,14 @@
     std::string id;
     int port = 0;
     std::int64_t memory = 80000000000; ///< bytes
-    double kvReserveShare = 0.15; ///< share of the memory that weights may never take
+    double kvReserveShare = 0.15; ///< share of the memory that is reserved for the KV cache
     bool checksFence = true;
-    Duration restartDelay = Duration::seconds(15); ///< from a crash until it answers again
-    Duration minOrderDelay = Duration::millis(5); ///< until an order is answered and its effect begins
+    Duration restartDelay = Duration::seconds(15); ///< from a crash until the engine listens again
+    Duration minOrderDelay = Duration::millis(5); ///< shortest time until an order takes effect and is answered
     Duration maxOrderDelay = Duration::millis(50);
-    double orderLoseRate = 0; ///< orders that vanish: neither effect nor answer
-    double orderDropAnswerRate = 0; ///< orders that take effect, but whose answer is lost
-    double orderLateRate = 0;
+    double orderLoseRate = 0; ///< share of orders that have neither effect nor answer
+    double orderDropAnswerRate = 0; ///< share of orders that take effect, but whose answer is lost
+    double orderLateRate = 0; ///< share of orders whose delay is drawn from [maxOrderDelay, maxLateOrderDelay]
     Duration maxLateOrderDelay = Duration::seconds(10);
     Duration reportPeriod = Duration::millis(500);
     Duration reportLag = Duration::millis(300);
@@ -42,14 +42,14 @@
     auto id() const -> const std::string &;
     auto port() const -> int;
     auto checksFence() const -> bool;
-    /// What happened here, ever: memory high-water mark, overcommits, loads, unloads, crashes, tokens; see fakes/README.md.
+    /// State and total counts: memory now and its high-water mark, overcommits, loads, unloads, crashes, tokens; see fakes/README.md.
     auto truth() const -> Json;
-    /// Every completion by request id, for tests that need them.
+    /// Counts of every completion by request id.
     auto completions() const -> Json;
 
-    /// Ends every stream and forgets everything; comes back after the restart time with a higher generation.
+    /// Ends every stream and clears all state; listens again after the restart time with a higher generation.
     auto crash(const std::string &why) -> void;
-    /// Reads "loseRate", "dropAnswerRate", "lateRate", "lateMostMs", "slow" where given.
+    /// Applies "loseRate", "dropAnswerRate", "lateRate", "lateMostMs", "restartMs" and "slow" where present.
     auto setFaults(const Json &command) -> void;
 
 private:
@@ -86,7 +86,7 @@
     EngineSettings m_settings;
     EngineMemory m_memory;
     EngineBatch m_batch;
-    std::map<std::string, std::shared_ptr<WeightLoad>> m_loads; // by order
+    std::map<std::string, std::shared_ptr<WeightLoad>> m_loads; // by order id
     std::deque<Report> m_reports;
     std::map<std::string, Completion> m_completions;
     std::uint64_t m_generation = 1;
--- a/fakes/enginebatch.cpp
+++ b/fakes/enginebatch.cpp
@@ -138,7 +138,7 @@
     return m_cache;
 }
 
-/// Moves waiting streams into free places, as far as KV room allows; one stream always fits.
+/// Admits waiting streams while slots and KV-cache memory are free. If no stream runs, the first is admitted whatever it needs.
 auto EngineBatch::admit() -> void
 {
     while (!m_waiting.empty() && m_running.size() < static_cast<std::size_t>(m_settings.maxStreams)) {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Gives `budget` tokens of prefill to running streams, in their order. Returns what was used.
+/// Spends up to `budget` prefill tokens on running streams, in order of admission. Returns the tokens spent.
 auto EngineBatch::prefill(std::int64_t budget) -> std::int64_t
 {
     std::int64_t used = 0;
@@ -196,7 +196,7 @@
     m_stepTimer = m_clock.timer(m_step, [this] { finishStep(); });
 }
 
-/// Each stream that needs no more prefill gains a token: the step that ends a prefill gives the first.
+/// Each stream whose prefill is done gains a token, so the step that completes a prefill yields the first token.
 auto EngineBatch::finishStep() -> void
 {
     const std::vector<StreamPtr> streams(m_running.begin(), m_running.end());
--- a/fakes/enginebatch.h
+++ b/fakes/enginebatch.h
@@ -1,7 +1,7 @@
-// Continuous batching in an engine stand-in: one step serves every running stream, and prefill displaces decode.
+// Continuous batching of the fake engine: one step serves every running stream, and prefill prolongs the step and so delays decoding.
 //
 // A step lasts 12 ms + 0.25 ms per decoding stream, plus the prefill it carries at 9,000 tokens a second; each decoding stream gains one token.
-// Streams wait in order of priority, then arrival, for one of 64 places and for room in the KV cache.
+// Streams wait in order of priority, then arrival, for one of 64 slots of the batch and for free KV-cache memory.
 #pragma once
 
 #include "prefixcache.h"
@@ -21,27 +21,27 @@
     Duration stepPerStream = Duration::micros(250);
     int maxStreams = 64;
     double prefillTokensPerSecond = 9000;
-    int prefillChunk = 128; ///< tokens of prefill that one step carries beside decoding
+    int prefillChunk = 128; ///< most prefill tokens that one step processes beside decoding
     std::int64_t kvBytesPerToken = 100000;
 };
 
-/// One completion being made. The hooks are called from a step.
+/// One completion being generated. The hooks are called from a step, except onCancelled, which remove() calls.
 struct Stream {
     std::string requestId;
     std::string artifact;
     std::string prompt;
     int priority = 1;
-    int outputTokens = 16; ///< in all
-    int produced = 0; ///< starts at the offset of a resumed stream
+    int outputTokens = 16; ///< total, including those before the offset of a resumed stream
+    int produced = 0; ///< index of the next token; starts at the offset of a resumed stream
     std::int64_t prefillLeft = 0; ///< tokens
-    std::int64_t kvTokens = 0; ///< room taken for prompt and output
-    bool crashesEngine = false; ///< the prompt carries the marker that crashes its engine
+    std::int64_t kvTokens = 0; ///< KV-cache tokens reserved for prompt and output
+    bool crashesEngine = false; ///< the prompt contains the marker that crashes the engine
 
     std::function<void(int index)> onToken;
     std::function<void()> onDone;
-    std::function<void()> onCancelled; ///< by its id
-    std::function<void()> onCrash; ///< the marker's effect
-    std::function<bool()> isBackpressured; ///< the reader is slow: no token for now
+    std::function<void()> onCancelled; ///< cancelled by its request id
+    std::function<void()> onCrash; ///< the prompt's crash marker takes effect
+    std::function<bool()> isBackpressured; ///< the reader is slow: the stream gains no token in this step
 };
 using StreamPtr = std::shared_ptr<Stream>;
 
@@ -53,7 +53,7 @@
     auto add(const StreamPtr &stream) -> void;
     auto remove(const std::string &requestId) -> bool;
     auto remove(const StreamPtr &stream) -> void;
-    auto clear() -> void; ///< forgets all streams and the cache
+    auto clear() -> void; ///< drops all streams without a call, and clears the cache
     auto setKvCapacity(std::int64_t bytes) -> void;
     auto setSlowdown(double factor) -> void;
 
@@ -61,11 +61,11 @@
     auto waiting() const -> std::size_t;
     auto isRunning(const std::string &artifact) const -> bool;
     auto stepDuration() const -> Duration; ///< of the last step
-    auto prefillQueue() const -> std::int64_t; ///< tokens still to prefill
-    auto kvUsed() const -> std::int64_t; ///< bytes: streams and cache
-    auto tokens() const -> std::uint64_t; ///< produced ever
-    auto prefilled() const -> std::uint64_t; ///< tokens ever, without cached ones
-    auto cachedTokens() const -> std::uint64_t; ///< prompt tokens that the cache saved
+    auto prefillQueue() const -> std::int64_t; ///< prompt tokens still to prefill, of running and waiting streams
+    auto kvUsed() const -> std::int64_t; ///< bytes used by running streams and the prefix cache
+    auto tokens() const -> std::uint64_t; ///< total generated
+    auto prefilled() const -> std::uint64_t; ///< total prefill tokens, without cached ones
+    auto cachedTokens() const -> std::uint64_t; ///< total prompt tokens found in the prefix cache
     auto cache() -> PrefixCache &;
 
 private:
--- a/fakes/enginememory.h
+++ b/fakes/enginememory.h
@@ -1,7 +1,7 @@
-// Accelerator memory of an engine stand-in: what is resident and loading, charged in bytes.
+// Accelerator memory of the fake engine: bytes charged for resident and loading artifacts.
 //
-// A load is charged from the moment the engine accepts it. Two loads of one artifact at once are two charges; a load of what is resident
-// already is a second charge until it is done. Charged weights may fill the memory up to the least KV-cache room; beyond it is overcommitted.
+// A load is charged from the moment the engine accepts it. Two concurrent loads of one artifact are two charges; a load of an artifact that is
+// already resident is a second charge until it is done. Charged weights may use all memory except the KV-cache reserve; beyond, it is overcommitted.
 #pragma once
 
 #include "answers.h"
@@ -17,7 +17,7 @@
 class EngineMemory
 {
 public:
-    /// `total` bytes, of which `kvReserve` belong to the KV cache whatever is loaded.
+    /// `total` bytes, of which `kvReserve` are always reserved for the KV cache.
     EngineMemory(std::int64_t total, std::int64_t kvReserve);
 
     auto beginLoad(const std::string &order, const std::string &artifact, const std::string &base, std::int64_t bytes) -> void;
@@ -26,13 +26,13 @@
     auto clear() -> void;
 
     auto isResident(const std::string &artifact) const -> bool;
-    /// The adapters on this base: they go when it goes.
+    /// The resident adapters of this base; they are unloaded together with it.
     auto residentAdapters(const std::string &base) const -> std::vector<std::string>;
     auto total() const -> std::int64_t;
     auto used() const -> std::int64_t; ///< weights resident and loading
-    auto kvCapacity() const -> std::int64_t; ///< what weights leave
+    auto kvCapacity() const -> std::int64_t; ///< free for the KV cache
     auto isOvercommitted() const -> bool;
-    auto highWater() const -> std::int64_t; ///< the most that used() ever was
+    auto highWater() const -> std::int64_t; ///< highest value of used() so far
     auto residentJson() const -> Json;
     auto loadingJson() const -> Json;
 
@@ -47,7 +47,7 @@
     std::int64_t m_kvReserve;
     std::int64_t m_highWater = 0;
     std::map<std::string, Charge> m_resident; // by artifact
-    std::map<std::string, Charge> m_loading; // by order
+    std::map<std::string, Charge> m_loading; // by order id
 };
 
 } // namespace KingCup
--- a/fakes/fakes.h
+++ b/fakes/fakes.h
@@ -1,4 +1,4 @@
-// All stand-ins of one process, and the admin port that shows their ground truth and takes fault commands.
+// All fakes of one process, and the admin port that reports their ground truth and accepts fault commands.
 #pragma once
 
 #include "engine.h"
@@ -22,10 +22,10 @@
 class Fakes
 {
 public:
-    /// Listens everywhere at once; throws std::runtime_error if a port is taken.
+    /// Starts to listen on every port; throws std::runtime_error if a port is taken.
     Fakes(EventLoop &loop, const FakesSettings &settings);
 
-    /// Every port, as GET /ports answers it.
+    /// Every port, as in the answer to GET /ports.
     auto ports() const -> Json;
 
 private:
--- a/fakes/fakessettings.cpp
+++ b/fakes/fakessettings.cpp
@@ -15,7 +15,7 @@
 
 constexpr double BytesPerGigabyte = 1e9;
 
-/// What the options hold before they become typed settings.
+/// Values of the options before their conversion to typed settings.
 struct RawSettings {
     FakesSettings settings;
     double memoryGigabytes = 80;
@@ -48,17 +48,17 @@
 auto describe(RawSettings &raw) -> Options::options_description
 {
     auto &s = raw.settings;
-    Options::options_description all("Stand-ins for the platform and the targets. All durations are simulated time");
+    Options::options_description all("Fakes of the platform and the targets. All durations are simulated time");
     auto add = all.add_options();
-    add("base-port", withDefault(s.basePort), "admin port; the others follow (see fakes/README.md); 0: the system chooses all");
-    add("time-scale", withDefault(s.timeScale), "how many times faster than real time");
-    add("seed", withDefault(s.seed), "of all random choices");
+    add("base-port", withDefault(s.basePort), "admin port; the others are at fixed offsets (see fakes/README.md); 0: the operating system chooses all ports");
+    add("time-scale", withDefault(s.timeScale), "speed-up factor over real time");
+    add("seed", withDefault(s.seed), "seed of all random choices");
     add("engine.count", withDefault(s.engineCount), "");
     add("engine.prefix", withDefault(s.enginePrefix), "ids are PREFIX1, PREFIX2, ...");
     add("engine.fencing", withDefault(s.fencing), "checked, ignored or alternate");
     add("engine.memory-gb", withDefault(raw.memoryGigabytes), "");
-    add("engine.kv-least", withDefault(s.engine.kvReserveShare), "share of memory that weights may never take");
-    add("engine.restart-ms", withDefault(raw.restartMillis), "from a crash until it answers again");
+    add("engine.kv-least", withDefault(s.engine.kvReserveShare), "share of the memory that is reserved for the KV cache");
+    add("engine.restart-ms", withDefault(raw.restartMillis), "time from a crash until the engine listens again");
     add("engine.order-least-ms", withDefault(raw.minOrderDelayMillis), "");
     add("engine.order-most-ms", withDefault(raw.maxOrderDelayMillis), "");
     add("engine.order-lose-rate", withDefault(s.engine.orderLoseRate), "");
@@ -74,11 +74,11 @@
     add("engine.step-per-stream-ms", withDefault(raw.stepPerStreamMillis), "");
     add("engine.max-streams", withDefault(s.engine.batch.maxStreams), "");
     add("engine.prefill-tokens-per-second", withDefault(s.engine.batch.prefillTokensPerSecond), "");
-    add("engine.prefill-chunk", withDefault(s.engine.batch.prefillChunk), "tokens of prefill beside one decode step");
+    add("engine.prefill-chunk", withDefault(s.engine.batch.prefillChunk), "most prefill tokens in one step beside decoding");
     add("engine.kv-bytes-per-token", withDefault(s.engine.batch.kvBytesPerToken), "");
     add("weights.loads-per-second", withDefault(s.weights.loadsPerSecond), "");
-    add("weights.parallel", withDefault(s.weights.parallelLoads), "loads at once at full speed");
-    add("weights.gb-per-second", withDefault(raw.loadGigabytesPerSecond), "of one load alone");
+    add("weights.parallel", withDefault(s.weights.parallelLoads), "concurrent loads at full speed");
+    add("weights.gb-per-second", withDefault(raw.loadGigabytesPerSecond), "full speed of one load");
     add("table.writes-per-second", withDefault(s.table.writesPerSecond), "");
     add("table.reads-per-second", withDefault(s.table.readsPerSecond), "");
     add("table.latency-ms", withDefault(raw.tableMillis), "");
@@ -88,10 +88,10 @@
     add("service.groups", withDefault(raw.services), "NAME:COUNT,...");
     add("service.read-ms", withDefault(raw.readMillis), "");
     add("service.write-ms", withDefault(raw.writeMillis), "");
-    add("service.concurrency", withDefault(s.service.concurrency), "calls one instance works on at once");
+    add("service.concurrency", withDefault(s.service.concurrency), "calls that one instance runs concurrently");
     add("platform.runners", withDefault(s.platform.runners), "runners of the users' platform");
-    add("platform.instances", withDefault(s.platform.instances), "instances of a plain service there");
-    add("platform.models", withDefault(s.platform.models), "declared there");
+    add("platform.instances", withDefault(s.platform.instances), "instances of the platform's plain service");
+    add("platform.models", withDefault(s.platform.models), "models declared on the platform");
     add("proxy.link", Options::value(&s.links)->composing(), "NAME,LISTEN-PORT,TARGET; may be repeated");
     return all;
 }
--- a/fakes/faultgate.cpp
+++ b/fakes/faultgate.cpp
@@ -33,7 +33,7 @@
     return std::nullopt;
 }
 
-/// An exchange nobody hears of: lets an effect take place whose answer is lost.
+/// An exchange without a connection: an effect that answers it takes place, but the answer is lost.
 auto detachedExchange(const ExchangePtr &exchange) -> ExchangePtr
 {
     return std::make_shared<HttpExchange>(exchange->request());
--- a/fakes/hostlist.h
+++ b/fakes/hostlist.h
@@ -1,4 +1,4 @@
-// The host list stand-in: lags behind the truth, and can be frozen, emptied or wrong.
+// Fake host list: shows changes after a lag, and can be frozen, emptied or made wrong.
 #pragma once
 
 #include "answers.h"
@@ -25,10 +25,10 @@
     HostList(SimClock &clock, int port, Duration lag);
 
     auto port() const -> int;
-    /// Adds the host, or changes the one of that id; shows in the list after the lag.
+    /// Adds the host, or changes the host of that id; the list shows it after the lag.
     auto set(const Host &host) -> void;
     auto remove(const std::string &id) -> void;
-    /// Modes: "ok", "freeze" (answers as now for ever), "empty", "wrong" (every second host is missing, the others claim to leave),
+    /// Modes: "ok", "freeze" (keeps answering the present list), "empty", "wrong" (every second host is missing, the others are listed as leaving),
     /// "refuse" (503). False if unknown.
     auto setMode(const std::string &mode) -> bool;
 
@@ -52,7 +52,7 @@
     HttpServer m_server;
 };
 
-/// Reads {"id","role","zone","address","state"}; missing parts stay empty, state becomes "live".
+/// Reads {"id","role","zone","address","state"}; missing fields stay empty, a missing state becomes "live".
 auto hostFromJson(const Json &json) -> Host;
 
 } // namespace KingCup
--- a/fakes/objectstore.h
+++ b/fakes/objectstore.h
@@ -1,4 +1,4 @@
-// The object store stand-in: whole objects with etags, conditional writes and outages.
+// Fake object store: whole objects with etags, conditional writes and injected faults.
 #pragma once
 
 #include "faultgate.h"
--- a/fakes/plainservice.cpp
+++ b/fakes/plainservice.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-/// What stands behind `prefix` in `path`; empty if it doesn't start so.
+/// The part of `path` after `prefix`; empty if `path` doesn't start with it.
 auto afterPrefix(const std::string &path, const std::string &prefix) -> std::string
 {
     return path.compare(0, prefix.size(), prefix) == 0 ? path.substr(prefix.size()) : std::string();
 }
 
-/// The path below the service's own root, whether or not the system has left "/services/NAME" in it.
+/// The path within the service: without "/services/NAME", if the system has left that in the path.
 auto pathInService(const std::string &path, const std::string &name) -> std::string
 {
     const auto rest = afterPrefix(path, "/services/" + name);
@@ -165,7 +165,7 @@
     }
 }
 
-/// Waits for `?wait-ms=` and the service time, runs the call, then holds the answer for `?hold-ms=`.
+/// Waits for `?wait-ms=` plus the service time, runs the call, then holds the answer for `?hold-ms=` or the header `x-hold-ms`.
 auto PlainService::run(const ExchangePtr &exchange, std::uint64_t epoch) -> void
 {
     const auto &request = exchange->request();
--- a/fakes/plainservice.h
+++ b/fakes/plainservice.h
@@ -1,6 +1,6 @@
-// Plain service stand-ins: a ledger and a directory in one. Instances of one name share their state.
+// Fake plain services: each is a ledger and a directory in one. Instances of one service share their state.
 //
-// Every execution is counted by idempotency key and attempt id: the ground truth of what ran, and how often.
+// Every execution is recorded by idempotency key and attempt id, as the ground truth of which requests ran and how often.
 #pragma once
 
 #include "answers.h"
@@ -18,7 +18,7 @@
 struct ServiceSettings {
     Duration readTime = Duration::millis(15); ///< of GET
     Duration writeTime = Duration::millis(30); ///< of the other methods
-    int concurrency = 8; ///< calls that one instance works on at once; others wait
+    int concurrency = 8; ///< calls that one instance runs concurrently; others wait
 };
 
 struct ServiceAnswer {
@@ -30,7 +30,7 @@
 class ServiceState
 {
 public:
-    /// Runs a call: the effect takes place now.
+    /// Runs a call; its effect takes place at once.
     auto execute(const HttpRequest &request, const std::string &path, const std::string &instance) -> ServiceAnswer;
     /// {"executions":{KEY:{"count","attempts","method","path"}},"doubled":[KEY...],"balances":{...},"extensions":{...},"reads":N,"unkeyed":N}
     auto truth() const -> Json;
@@ -58,10 +58,10 @@
     auto id() const -> const std::string &;
     auto name() const -> const std::string &;
     auto port() const -> int;
-    /// Down: the port is closed, calls in progress are cut off without effect.
+    /// Down: the port is closed; calls in progress are cut off, without effect if they haven't run yet.
     auto setDown(bool down) -> void;
     auto setSlowdown(double factor) -> void;
-    auto lastNewWorkMs() const -> std::int64_t; ///< simulated time at which the last call came; -1 if none did
+    auto lastNewWorkMs() const -> std::int64_t; ///< simulated time at which the last call arrived; -1 if none did
     auto calls() const -> std::uint64_t;
 
 private:
@@ -79,7 +79,7 @@
     std::deque<ExchangePtr> m_waiting;
     int m_running = 0;
     double m_slowdown = 1.0;
-    std::uint64_t m_epoch = 0; // rises with each time it goes down
+    std::uint64_t m_epoch = 0; // incremented each time the instance goes down; timers of an earlier epoch do nothing
     std::uint64_t m_calls = 0;
     std::int64_t m_lastWork = -1;
     std::unique_ptr<HttpServer> m_server;
--- a/fakes/platformrunner.cpp
+++ b/fakes/platformrunner.cpp
@@ -66,7 +66,8 @@
     return list;
 }
 
-/// Its row, as often as runners write; the store drops rows of silent runners, also of those that it couldn't hear.
+/// Writes the runner's row if it has changed, and removes it after `rowTimeout` without a heartbeat, as the users' store does. This also affects runners
+/// whose heartbeats were lost because the store was down.
 auto PlatformRunner::heartbeat() -> void
 {
     const auto epoch = m_epoch;
@@ -279,7 +280,7 @@
         connection->answer(status, headers, body);
         connection->write("HTTP/1.1 200 OK\r\nAttempt-Id: " + attempt + "\r\nServer-Stamp: again\r\nContent-Length: 3\r\n\r\nbad");
     } else if (m_mode == "stray") {
-        // The answer to an earlier request comes where the next one is due.
+        // An answer to an earlier request arrives where this request's answer is due.
         connection->write("HTTP/1.1 200 OK\r\nAttempt-Id: another\r\nServer-Stamp: old\r\nContent-Length: 3\r\n\r\nold");
         connection->answer(status, headers, body);
     } else {
@@ -388,7 +389,7 @@
     m_orderLog.push_back(std::to_string(m_clock.now().inMillis()) + " " + holder + " " + parsed.value("operation", "") + " " + order.model + "/"
                          + order.adapter);
     if (m_mode == "late-orders") {
-        // No answer, and it is carried out later if its number still holds.
+        // No answer; the order is applied later if its expected order count still matches.
         connection->close();
         m_clock.after(LateOrderDelay, [this, order] { applyOrder(order); });
         return;
--- a/fakes/platformrunner.h
+++ b/fakes/platformrunner.h
@@ -1,5 +1,5 @@
-// Stand-in for one of the users' runners: a model runner that takes orders, or an instance of a plain service. It keeps the truth of what it
-// ran, and misbehaves on command.
+// Fake runner of the users' platform: a model runner that accepts orders, or an instance of a plain service. It records what it ran as the ground
+// truth for tests, and misbehaves on command.
 #pragma once
 
 #include "answers.h"
@@ -30,15 +30,15 @@
     std::string zone = "north";
     int slots = 8;
     int port = 0;
-    bool isRunner = true; ///< holds models; else a plain service's instance
+    bool isRunner = true; ///< a model runner; otherwise an instance of a plain service
     double memoryMegabytes = 150000;
     int adapterSlots = 2;
-    std::vector<PlatformModel> models; ///< declared
-    std::vector<std::string> initialModels; ///< at its start
-    Duration workTime = Duration::millis(20); ///< of a plain request, and until the first event of a stream
+    std::vector<PlatformModel> models; ///< all that are declared
+    std::vector<std::string> initialModels; ///< loaded when the process starts
+    Duration workTime = Duration::millis(20); ///< duration of a plain request, and time until the first event of a stream
     Duration eventTime = Duration::millis(10); ///< between events
-    Duration heartbeatPeriod = Duration::millis(200);
-    Duration rowTimeout = Duration::millis(600); ///< of silence, until its row goes
+    Duration heartbeatPeriod = Duration::millis(200); ///< between heartbeats; a heartbeat writes the row if it has changed
+    Duration rowTimeout = Duration::millis(600); ///< time without a heartbeat until its row is removed
 };
 
 class PlatformRunner
@@ -49,8 +49,8 @@
     auto id() const -> const std::string &;
     auto port() const -> int;
     auto truth() const -> Json;
-    /// {"mode":"crash","downMs":N,"sameId":B}, "drain", "leave" (its row goes, it serves on), "return", "dark"/"light", "errors", "reset", "truncate",
-    /// "extra", "stray", "unframed", "lose-answers", "late-orders", "crash-on" with "body", "well". False if the mode is unknown.
+    /// {"mode":"crash","downMs":N,"sameId":B}, "drain", "leave" (its row is removed, it goes on serving), "return", "dark", "errors", "reset",
+    /// "truncate", "extra", "stray", "unframed", "lose-answers", "late-orders", "crash-on" with "body", "well". False if the mode is unknown.
     auto command(const Json &command) -> bool;
 
 private:
@@ -84,15 +84,15 @@
     PlatformStore &m_store;
     PlatformRunnerSettings m_settings;
     RawServer m_server;
-    std::string m_id; ///< of this start
+    std::string m_id; ///< instance id of the present start
     std::uint64_t m_startedAtMillis = 0;
     int m_starts = 0;
-    std::uint64_t m_epoch = 0; ///< rises at each crash: timers of an earlier life do nothing
+    std::uint64_t m_epoch = 0; ///< incremented by crash, restart, drain and return; timers of an earlier epoch do nothing
     bool m_up = true;
     bool m_draining = false;
     bool m_listed = true;
     std::string m_mode = "well";
-    std::string m_crashBody; ///< a request with this body crashes it
+    std::string m_crashBody; ///< a request with this body crashes the runner
     std::map<std::string, LoadedModel> m_loadedModels;
     bool m_busy = false;
     std::uint64_t m_acceptedOrders = 0;
@@ -100,14 +100,14 @@
     std::string m_lastRow;
     Duration m_lastHeartbeat;
 
-    // The truth.
-    std::map<std::string, int> m_runs; ///< by attempt, over all its lives
+    // Ground truth, reported by truth().
+    std::map<std::string, int> m_runs; ///< by attempt, over all starts
     std::map<std::string, std::string> m_bodies; ///< by attempt
-    std::map<std::string, std::string> m_accounts; ///< by attempt: each account that the request names, joined by commas
-    std::uint64_t m_keysSeen = 0; ///< requests that came with a client's key
-    std::uint64_t m_overcommits = 0; ///< orders to load more than there is room for
-    std::uint64_t m_cancelled = 0; ///< runs whose caller left
-    std::map<std::string, std::string> m_fenceByHolder; ///< holder and fence, by holder
+    std::map<std::string, std::string> m_accounts; ///< by attempt: the accounts named in the request's headers, joined by commas
+    std::uint64_t m_keysSeen = 0; ///< requests that carried a client's key (Authorization header)
+    std::uint64_t m_overcommits = 0; ///< orders to load beyond the free memory or adapter slots
+    std::uint64_t m_cancelled = 0; ///< runs whose caller closed the connection
+    std::map<std::string, std::string> m_fenceByHolder; ///< fencing token of the last order, by lease holder
     std::vector<std::string> m_orderLog;
     int m_maxConnections = 0;
 };
--- a/fakes/platformsite.cpp
+++ b/fakes/platformsite.cpp
@@ -105,7 +105,7 @@
 
 auto PlatformSite::writeTraffic() -> void
 {
-    m_version += 3; // versions rise in uneven steps
+    m_version += 3; // versions aren't consecutive
     m_store.put("op", "config", document().dump());
 }
 
--- a/fakes/platformsite.h
+++ b/fakes/platformsite.h
@@ -1,4 +1,4 @@
-// The users' platform in small: its store, runners of one model service, instances of one plain service, and the operators' document.
+// Fake of the users' platform: its store, runners of one model service, instances of one plain service, and the operators' document.
 #pragma once
 
 #include "platformrunner.h"
@@ -25,7 +25,7 @@
     auto ports() const -> Json;
     auto truth() const -> Json;
     /// {"part":"store",...}, {"part":"runner","id":ID,...} (no id: all), {"part":"operator","change":"add-route"|"drop-route"|"timeout","ms":N},
-    /// {"part":"operator","change":"accounts","accounts":[...]} as the document spells them; null: none are declared,
+    /// {"part":"operator","change":"accounts","accounts":[...]} in the document's format; null: none are declared,
     /// {"part":"row","key":K,"value":V} writes any row of runners.
     auto command(const Json &command) -> bool;
 
--- a/fakes/platformstore.h
+++ b/fakes/platformstore.h
@@ -1,4 +1,4 @@
-// Stand-in for the users' store, as far as the product uses it: rows in tables, transactions under conditions, reads and watches.
+// Fake of the users' store, as far as the system uses it: rows in tables, conditional transactions, reads and watches.
 #pragma once
 
 #include "answers.h"
@@ -21,15 +21,15 @@
 
     auto port() const -> int;
     auto truth() const -> Json;
-    auto row(const std::string &table, const std::string &key) const -> std::string; ///< its value; empty: none
+    auto row(const std::string &table, const std::string &key) const -> std::string; ///< the row's value; empty if the row doesn't exist
 
-    /// As the operator and the runners write: not over the network.
+    /// Writes of the operator and the runners, which don't go over the network.
     auto put(const std::string &table, const std::string &key, const std::string &value) -> void;
     auto remove(const std::string &table, const std::string &key) -> void;
     auto isDown() const -> bool;
-    /// {"mode":"up"|"busy"|"reset"|"silent"|"swallow"|"lose-answers"|"forget-history"}: "busy" answers 503, "reset" closes, "silent" answers nothing;
-    /// "swallow" takes calls and forgets them, also those that wait: their connections stay open and are never answered;
-    /// "lose-answers" does what it is asked and closes. False if the mode is unknown.
+    /// {"mode":"up"|"busy"|"reset"|"silent"|"swallow"|"lose-answers"|"forget-history"}: "busy" answers 503, "reset" closes connections, "silent" neither reads
+    /// nor answers; "swallow" accepts calls and drops them, as well as pending watches: their connections stay open and are never answered; "lose-answers"
+    /// performs the call and closes the connection; "forget-history" drops the change history and closes the watches. False if the mode is unknown.
     auto setMode(const std::string &mode) -> bool;
 
 private:
--- a/fakes/platformwire.cpp
+++ b/fakes/platformwire.cpp
@@ -89,7 +89,7 @@
 auto RawServer::accept(std::unique_ptr<TcpStream> stream) -> void
 {
     if (!m_accepting) {
-        return; // closed with the stream
+        return; // destroying the stream closes the connection
     }
     auto connection = std::make_shared<RawConnection>();
     connection->m_stream = std::move(stream);
--- a/fakes/platformwire.h
+++ b/fakes/platformwire.h
@@ -1,4 +1,4 @@
-// A small HTTP server that speaks bytes, for stand-ins that must also misbehave: answers may be cut, doubled, unframed or never come.
+// A small HTTP server whose handlers write raw bytes, for fakes that misbehave: answers may be truncated, sent twice, unframed or never sent.
 #pragma once
 
 #include "net/httpreader.h"
@@ -12,16 +12,16 @@
 namespace KingCup
 {
 
-/// One accepted connection; kept by whoever answers.
+/// One accepted connection; a handler that answers later keeps the pointer.
 class RawConnection : public std::enable_shared_from_this<RawConnection>
 {
 public:
     auto isOpen() const -> bool;
     auto write(std::string_view bytes) -> void;
-    auto answer(int status, HttpHeaders headers, std::string_view body) -> void; ///< whole, with its length
+    auto answer(int status, HttpHeaders headers, std::string_view body) -> void; ///< writes a complete answer with its content length
     auto close() -> void;
 
-    std::function<void()> onClientClosed; ///< the caller closed it; replaced by each request's handler
+    std::function<void()> onClientClosed; ///< the connection has ended and not by close(); set anew by the handler of each request
 
 private:
     friend class RawServer;
@@ -42,9 +42,9 @@
 
     auto port() const -> int;
     auto connections() const -> std::size_t;
-    /// While off, new connections are accepted and closed at once, as a crashed host's system does after a fashion.
+    /// While off, new connections are accepted and closed at once. This approximates a host whose process has crashed.
     auto setAccepting(bool on) -> void;
-    /// While on, nothing is read: a host without power answers nothing, though this machine's system still acknowledges.
+    /// While on, nothing is read, as if the host had no power; but this machine's operating system still acknowledges received bytes.
     auto setUnresponsive(bool on) -> void;
     auto closeAll() -> void;
 
--- a/fakes/prefixcache.cpp
+++ b/fakes/prefixcache.cpp
@@ -95,7 +95,7 @@
 
 auto PrefixCache::publish(bool stored, const std::string &hash) -> void
 {
-    ++m_sequence; // a dropped event leaves a gap
+    ++m_sequence; // also for a dropped event, which leaves a gap
     if (m_clock.random() < m_settings.dropRate) {
         return;
     }
--- a/fakes/prefixcache.h
+++ b/fakes/prefixcache.h
@@ -1,6 +1,6 @@
-// The prefix cache of an engine stand-in: blocks of prompt text, least recently used first out, with late and incomplete events.
+// Prefix cache of the fake engine: blocks of prompt text with LRU eviction. Its events are delayed, and some are dropped.
 //
-// A prompt is cut into blocks of BlockChars characters; the hash of a block covers the artifact and all text up to the block's end, so that
+// A prompt is split into blocks of BlockChars characters; the hash of a block covers the artifact and all text up to the block's end, so that
 // equal hashes mean equal prefixes. The hash is XXH3_64bits of ARTIFACT + '\n' + the prompt's first k * BlockChars characters, in hex.
 #pragma once
 
@@ -17,18 +17,18 @@
 namespace KingCup
 {
 
-/// Characters that count as one token, everywhere in the stand-ins.
+/// Characters that count as one token in all fakes.
 constexpr std::size_t CharsPerToken = 4;
 /// Characters in a cached block: 64 tokens.
 constexpr std::size_t BlockChars = 64 * CharsPerToken;
 
-/// The hashes of a prompt's whole blocks, shortest prefix first.
+/// The hashes of a prompt's complete blocks, shortest prefix first.
 auto prefixHashes(const std::string &artifact, const std::string &prompt) -> std::vector<std::string>;
 
 struct CacheEventSettings {
     Duration minDelay = Duration::millis(500);
     Duration maxDelay = Duration::seconds(2);
-    double dropRate = 0.02;
+    double dropRate = 0.02; ///< share of events that are never published
 };
 
 class PrefixCache
@@ -36,15 +36,15 @@
 public:
     PrefixCache(SimClock &clock, CacheEventSettings settings);
 
-    /// How many leading blocks are cached; they count as used now.
+    /// Returns how many leading blocks are cached, and marks them as recently used.
     auto touch(const std::vector<std::string> &hashes) -> std::size_t;
     auto store(const std::vector<std::string> &hashes) -> void;
-    /// Evicts until at most `blocks` are left.
+    /// Evicts the least recently used blocks until at most `blocks` are left.
     auto shrinkTo(std::size_t blocks) -> void;
     auto size() const -> std::size_t;
     auto contains(const std::string &hash) const -> bool;
     auto clear() -> void;
-    /// Events that have become visible, with a sequence number above `after`.
+    /// Visible events with a sequence number above `after`.
     auto eventsAfter(std::uint64_t after) const -> Json;
 
 private:
--- a/fakes/proxy.cpp
+++ b/fakes/proxy.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr std::size_t MaxQueuedBytes = 256U << 10U; // per direction; beyond it the sender is held back
+constexpr std::size_t MaxQueuedBytes = 256U << 10U; // per direction; beyond it, reading from the sender pauses
 constexpr std::size_t MaxWriteBytes = 16384;
 constexpr auto DripPeriod = Duration::millis(20);
 
@@ -44,8 +44,8 @@
 struct Pipe {
     std::deque<Piece> queue;
     std::size_t queued = 0;
-    double allowance = 0; // bytes that a slow link may still pass in this period
-    bool hasLostBytes = false; // bytes have vanished: a byte stream has no holes, so nothing behind them may pass
+    double allowance = 0; // bytes that the bandwidth limit still allows; refilled periodically
+    bool hasLostBytes = false; // bytes were dropped: a byte stream has no gaps, so nothing after them may be forwarded
 
     /// The next bytes that may be written now.
     auto take(Duration now, double bytesPerSecond) -> std::string
@@ -75,9 +75,9 @@
 /// One proxied connection.
 struct ConnectionPair {
     std::array<lws *, 2> sockets {};
-    std::array<Pipe, 2> pipes; // by the side the data came from
+    std::array<Pipe, 2> pipes; // by the side that the data comes from
     bool targetConnected = false;
-    bool ending = false; // one side has closed: the other is closed when it has got everything
+    bool ending = false; // one side has closed: the other is closed once all queued data is written
 };
 
 } // namespace
@@ -94,7 +94,7 @@
     std::map<ConnectionPair *, std::unique_ptr<ConnectionPair>> pairs;
     std::uint64_t droppedAnswers = 0;
     Timer dripTimer;
-    bool destroyed = false; // the Link has gone; libwebsockets still holds the virtual host
+    bool destroyed = false; // the Link is destroyed, but libwebsockets still uses the virtual host
 
     Private(SimClock &simClock, std::string linkName, Endpoint linkTarget)
         : clock(simClock)
@@ -184,7 +184,7 @@
     return 0;
 }
 
-/// Whether data from this side is to vanish.
+/// Whether data from this side is dropped.
 auto Link::Private::dropsFrom(Side from) -> bool
 {
     return from == ClientSide ? fault.loseUp : fault.loseDown;
@@ -221,7 +221,7 @@
     return 0;
 }
 
-/// Reads from a side only while there is room for its data and the link isn't frozen.
+/// Reads from a side only while its queue isn't full and the link isn't frozen.
 auto Link::Private::setReading(const ConnectionPair &pair) const -> void
 {
     for (const Side side : {ClientSide, TargetSide}) {
@@ -274,7 +274,7 @@
 auto Link::Private::onClosed(ConnectionPair &pair, Side side) -> void
 {
     pair.sockets[side] = nullptr;
-    // Where data is lost, the news of the end is lost as well.
+    // A direction that drops data also drops the end of the connection.
     pair.ending = !dropsFrom(side);
     if (side == TargetSide && !pair.targetConnected && pair.sockets[ClientSide] != nullptr) {
         lws_set_timeout(pair.sockets[ClientSide], PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
@@ -310,7 +310,7 @@
     dripTimer = clock.timer(DripPeriod, [this] { refillAllowances(); });
 }
 
-/// libwebsockets has let go of the virtual host.
+/// Called when libwebsockets has destroyed the virtual host.
 auto Link::Private::onVhostDestroyed(lws_vhost * /*vhost*/, void *self) -> void
 {
     delete static_cast<Private *>(self);
@@ -330,7 +330,7 @@
     info.listen_accept_role = "raw-skt";
     info.listen_accept_protocol = "proxy";
     info.options = LWS_SERVER_OPTION_ADOPT_APPLY_LISTEN_ACCEPT_CONFIG | LWS_SERVER_OPTION_FAIL_UPON_UNABLE_TO_BIND | LWS_SERVER_OPTION_DISABLE_IPV6;
-    info.vhost_name = "proxy-link"; // kept as a pointer
+    info.vhost_name = "proxy-link"; // libwebsockets keeps the pointer
     d->vhost = lws_create_vhost(clock.loop().context(), &info);
     if (d->vhost == nullptr) {
         throw std::runtime_error("cannot listen for link " + d->name);
@@ -394,7 +394,7 @@
 namespace
 {
 
-/// The fault that a command adds to `fault`; nothing if the mode is unknown.
+/// Adds the command's mode to `fault`; "heal" clears all modes. Nothing if the mode is unknown.
 auto changedFault(LinkFault fault, const Json &command) -> std::optional<LinkFault>
 {
     const auto mode = command.value("mode", std::string());
--- a/fakes/proxy.h
+++ b/fakes/proxy.h
@@ -1,7 +1,7 @@
 // A fault-injecting TCP proxy: each link listens on a port and forwards to a target, and can be cut, frozen, delayed or made lossy.
 //
-// "Up" is from whoever connected to the target, "down" is back. Faults hold until heal. A connection whose bytes were lost is reset when its link
-// passes data again.
+// "Up" is the direction from the client to the target, "down" the opposite one. Faults stay until "heal". A connection whose bytes were lost is
+// reset when its link passes data again.
 #pragma once
 
 #include "answers.h"
@@ -15,21 +15,21 @@
 namespace KingCup
 {
 
-/// What a link does to its connections.
+/// Faults that a link injects into its connections.
 struct LinkFault {
-    bool cut = false; ///< open connections are ended, new ones too, at once
+    bool cut = false; ///< open and new connections are closed at once
     bool frozen = false; ///< connections stay up, nothing passes
-    bool loseUp = false; ///< bytes towards the target vanish
-    bool loseDown = false; ///< bytes from the target vanish
-    int dropAnswers = 0; ///< so many times, what the target sends next is swallowed and its connection cut
-    Duration delay; ///< of each piece of data, each way
-    double bytesPerSecond = 0; ///< each way and connection; 0: no limit
+    bool loseUp = false; ///< bytes towards the target are dropped
+    bool loseDown = false; ///< bytes from the target are dropped
+    int dropAnswers = 0; ///< how many more times the target's next bytes are dropped and their connection is closed
+    Duration delay; ///< of all data, in each direction
+    double bytesPerSecond = 0; ///< of each connection in each direction; 0: no limit
 };
 
 class Link
 {
 public:
-    /// Listens at once; port 0 lets the system choose.
+    /// Starts to listen; with port 0 the operating system chooses the port.
     Link(SimClock &clock, std::string name, int listenPort, Endpoint target);
     ~Link();
     Link(const Link &) = delete;
@@ -47,16 +47,16 @@
     std::unique_ptr<Private> d;
 };
 
-/// The links of this process, by name, and their commands.
+/// The links of this process by name; executes fault commands on them.
 class Proxy
 {
 public:
     explicit Proxy(SimClock &clock);
 
-    /// Adds a link, or replaces the one of that name. Returns its port.
+    /// Adds a link, or replaces the link of that name. Returns its port.
     auto add(const std::string &name, int listenPort, const Endpoint &target) -> int;
     /// {"name":N,"mode":"cut"|"freeze"|"delay"|"lose-up"|"lose-down"|"drip"|"drop-answer"|"heal","ms":N,"bytesPerSecond":N,"count":N}.
-    /// Modes add up until "heal". An empty name means every link. False if the mode or link is unknown.
+    /// Modes are combined until "heal". An empty name means every link. False if the mode or link is unknown.
     auto command(const Json &command) -> bool;
     auto ports() const -> Json;
 
--- a/fakes/simclock.h
+++ b/fakes/simclock.h
@@ -1,6 +1,6 @@
-// Simulated time of the stand-ins: one factor compresses everything they do.
+// Simulated time of the fakes: one factor speeds up everything they do.
 //
-// All durations in the stand-ins' settings, faults and reports are simulated. With a factor of 10, a load of 5 s takes 0.5 s of the wall clock.
+// All durations in the fakes' settings, faults and reports are simulated. With a factor of 10, a load of 5 s takes 0.5 s of wall-clock time.
 #pragma once
 
 #include "net/eventloop.h"
@@ -16,7 +16,7 @@
 class SimClock
 {
 public:
-    /// `factor` is how many times faster than real time the stand-ins run; `seed` feeds random().
+    /// `factor` is how many times faster than real time the fakes run; `seed` seeds random().
     SimClock(EventLoop &loop, double factor, std::uint64_t seed);
 
     /// Simulated time since the start of the process.
@@ -26,12 +26,12 @@
 
     /// Calls `task` after `delay` of simulated time; the clock owns the timer.
     auto after(Duration delay, EventLoop::Task task) -> void;
-    /// As after(), but forgotten when the handle goes.
+    /// As after(), but cancelled when the handle is destroyed.
     [[nodiscard]] auto timer(Duration delay, EventLoop::Task task) -> Timer;
 
     /// Uniform in [0, 1).
     auto random() -> double;
-    /// Uniform between both.
+    /// Uniform between both bounds.
     auto randomDuration(Duration shortest, Duration longest) -> Duration;
 
 private:
--- a/fakes/tablestore.h
+++ b/fakes/tablestore.h
@@ -1,4 +1,4 @@
-// The table service stand-in: rows with versions, transactions by compare-and-set, rate limits and outages.
+// Fake table service: rows with versions, compare-and-set transactions, rate limits and injected faults.
 #pragma once
 
 #include "faultgate.h"
@@ -17,7 +17,7 @@
     double readsPerSecond = 2000; ///< rows
 };
 
-/// A rate limit: `rate` units a second, with a burst of one second's worth.
+/// A rate limit of `rate` units a second; the burst is the units of one second.
 class TokenBucket
 {
 public:
--- a/fakes/weightstore.cpp
+++ b/fakes/weightstore.cpp
@@ -55,7 +55,7 @@
     return load;
 }
 
-/// Counts what each load has got since the last change, and ends those that have all.
+/// Advances each load by the bytes transferred since the last call, and completes the loads that have all their bytes.
 auto WeightStore::advance() -> void
 {
     m_running.remove_if([](const auto &load) { return load.expired(); });
--- a/fakes/weightstore.h
+++ b/fakes/weightstore.h
@@ -1,4 +1,4 @@
-// The weight store stand-in: starts a limited number of loads a second; loads beyond its parallelism share its speed.
+// Fake weight store: starts a limited number of loads a second; loads beyond its parallelism share its bandwidth.
 #pragma once
 
 #include "simclock.h"
@@ -12,12 +12,12 @@
 {
 
 struct WeightSettings {
-    double loadsPerSecond = 2; ///< further loads are throttled
-    int parallelLoads = 3; ///< at full speed
-    double bytesPerSecond = 3e9; ///< of one load alone
+    double loadsPerSecond = 2; ///< loads beyond this rate are throttled
+    int parallelLoads = 3; ///< loads that run at full speed together
+    double bytesPerSecond = 3e9; ///< full speed of one load
 };
 
-/// A load in flight; dropping it ends the load without a call.
+/// A load in flight; destroying the handle cancels the load without a call of `done`.
 class WeightLoad
 {
 public:
@@ -29,7 +29,7 @@
 public:
     WeightStore(SimClock &clock, WeightSettings settings);
 
-    /// Starts a load; null if the rate limit throttles it. `done` is called once, unless the handle goes first.
+    /// Starts a load; null if the rate limit throttles it. `done` is called once, unless the handle is destroyed first.
     auto start(std::int64_t bytes, std::function<void()> done) -> std::shared_ptr<WeightLoad>;
     auto loads() const -> std::uint64_t;
     auto throttled() const -> std::uint64_t;
--- a/load/accountbench/main.cpp
+++ b/load/accountbench/main.cpp
@@ -1,4 +1,4 @@
-// kingcup-accountbench: what client accounts cost a gateway, without network. Prints one line per case.
+// kingcup-accountbench: measures the time and memory that client accounts cost a gateway, without network. Prints one line per case.
 //
 // `kingcup-accountbench [ACCOUNTS] [KEYS] [GATEWAYS]`; 1,000 accounts, 100,000 keys and 450 gateways if not given.
 #include "core/accountaccess.h"
--- a/load/answercheck.cpp
+++ b/load/answercheck.cpp
@@ -1,6 +1,6 @@
 #include "answercheck.h"
 
-// The static analyser sees the declarations only: it doubts the library's code, not ours.
+// The static analyser gets only the library's declarations, since it reports findings in the library's inline code.
 #ifndef __clang_analyzer__
 #define XXH_INLINE_ALL
 #endif
--- a/load/answercheck.h
+++ b/load/answercheck.h
@@ -1,5 +1,5 @@
-// Checks a streamed answer of an engine stand-in: its own, in order, with nothing missing or twice. The stand-in's tokens are
-// "INDEX:HASH ", where the hash follows from artifact, prompt and index (fakes/README.md).
+// Checks a streamed answer of the fake engine: it must belong to its request, be in order, and have no missing or repeated tokens. The engine's
+// tokens are "INDEX:HASH ", where the hash is of artifact, prompt and index (fakes/README.md).
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
     auto isWrong() const -> bool; ///< a token that isn't the next one of this answer, or an end marker too early
     auto problem() const -> const std::string &; ///< what was wrong, or the code of an error event
 
-    /// Takes the next bytes of the stream; answers with the number of tokens in them.
+    /// Processes the next bytes of the stream. Returns the number of tokens in the events that they complete.
     auto feed(std::string_view data) -> int;
 
 private:
@@ -32,7 +32,7 @@
     bool m_ended = false;
     bool m_wrong = false;
     std::string m_problem;
-    std::string m_partialEvent; ///< an event that isn't whole yet
+    std::string m_partialEvent; ///< received bytes of an incomplete event
 };
 
 } // namespace KingCup
--- a/load/arrivals.cpp
+++ b/load/arrivals.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr auto Bin = Duration::millis(100); ///< within it the rate is taken to be constant
+constexpr auto Bin = Duration::millis(100); ///< the request rate is constant within a bin
 
 class ScheduleMaker
 {
--- a/load/bench/planningbench.cpp
+++ b/load/bench/planningbench.cpp
@@ -1,4 +1,4 @@
-// kingcup-bench: how long planning and routing take at the size of one cell. Prints one line per case, in milliseconds or microseconds.
+// kingcup-bench: measures how long planning and routing take in one cell. Prints one line per case, in milliseconds or microseconds.
 //
 // `kingcup-bench [MODELS] [RUNNERS] [ROUNDS]`; 1,600 models, 700 runners and 120 rounds if not given.
 #include "core/placement.h"
@@ -21,9 +21,9 @@
 constexpr int DefaultRunners = 700;
 constexpr int DefaultRounds = 120;
 constexpr int Zones = 4;
-constexpr double RequestsPerRunner = 18; ///< a second, at one second of service each: a bit under half of what a runner does
+constexpr double RequestsPerRunner = 18; ///< requests a second with one second of service time each: slightly less than half of a runner's concurrency
 constexpr double Sizes[] = {6, 14, 16, 28}; ///< gigabytes
-constexpr int BurstRounds = 30; ///< then it moves to another model
+constexpr int BurstRounds = 30; ///< rounds until the burst moves to another model
 constexpr double BurstFactor = 10;
 constexpr int RoutingCalls = 100000;
 const ServiceName Models("models");
@@ -42,7 +42,7 @@
     std::cout << what << ": mean " << mean << " ms, median " << times[times.size() / 2] << " ms, most " << times.back() << " ms over " << times.size() << "\n";
 }
 
-/// A cell with Zipf demand, whose hottest burst moves.
+/// A cell with Zipf-distributed demand and one burst that moves from model to model.
 class Cell
 {
 public:
@@ -136,7 +136,7 @@
 
 auto measureRouting() -> void
 {
-    constexpr int Targets = 8; ///< that hold one model
+    constexpr int Targets = 8; ///< on which the model is resident
     const ArtifactName model("m0@1");
     Router router({});
     for (int i = 0; i < Targets; ++i) {
--- a/load/caller.cpp
+++ b/load/caller.cpp
@@ -15,26 +15,26 @@
 
 using json = nlohmann::json;
 
-constexpr auto Tick = Duration::millis(5); // libwebsockets spins through the last millisecond before a timer: shorter ticks cost a core
-constexpr auto HangUpAfterBudget = Duration::seconds(10); ///< then the caller hangs up
-constexpr std::size_t CharsPerToken = 4; ///< as the stand-ins count
+constexpr auto Tick = Duration::millis(5); // libwebsockets busy-waits during the last millisecond before a timer: shorter ticks would use a whole core
+constexpr auto HangUpAfterBudget = Duration::seconds(10); ///< time after the budget at which the caller hangs up
+constexpr std::size_t CharsPerToken = 4; ///< as in the fakes
 constexpr int Accounts = 100000;
 
-/// One sending of a request. A request has a second one if its caller sends again.
+/// One send of a request. A request has a second call if its caller resends it.
 struct Call {
     std::size_t record = 0;
     AnswerCheck check;
     int status = 0;
-    std::string outcome; ///< the entry's header
-    std::string body; ///< where it isn't a stream
+    std::string outcome; ///< the entry's kingcup-outcome header
+    std::string body; ///< of an answer that isn't a stream
     bool isStream = false;
     TimePoint lastToken;
 };
 using CallPtr = std::shared_ptr<Call>;
 
 struct Pending {
-    int callsInFlight = 0; ///< calls under way
-    bool answeredNotRun = true; ///< by all calls so far
+    int callsInFlight = 0;
+    bool answeredNotRun = true; ///< every call that has ended was refused
     Timer resend;
 };
 
@@ -46,7 +46,7 @@
     return text;
 }
 
-/// `tokens` tokens of text that begins with `start`.
+/// A text of `tokens` tokens that repeats `start`.
 auto repeatedText(const std::string &start, int tokens) -> std::string
 {
     std::string text = start;
@@ -293,7 +293,7 @@
     }
     if (state.callsInFlight == 0) {
         record.saidNotRun = state.answeredNotRun;
-        pending.erase(call->record); // with it a sending again that was planned: the caller has its answer
+        pending.erase(call->record); // also cancels a scheduled resend, since the caller has its answer
         finishIfDone();
     }
 }
--- a/load/caller.h
+++ b/load/caller.h
@@ -1,8 +1,8 @@
-// The callers of a run: sends each request when its time has come, whatever became of those before, and notes what came back and when.
+// The callers of a run (open loop): sends each request at its scheduled time, regardless of earlier requests, and records its answer and timing.
 //
 // Index of sections (search for [SECTION]):
-//   Records   what became of one request
-//   Caller    the task
+//   Records   the result of one request
+//   Caller    sends the requests
 #pragma once
 
 #include "arrivals.h"
@@ -20,13 +20,13 @@
 
 // [SECTION] Records
 
-/// How the caller saw the end, from the entry's word and the answer itself.
+/// The end of a request as its caller saw it, from the entry's outcome header and the answer.
 enum class ObservedOutcome {
     None, ///< no answer by the end of the run
-    Whole, ///< with its end marker, and its own
+    Whole, ///< complete; a stream with all its tokens and the end marker
     Wrong, ///< another request's answer, out of order, or with parts missing
-    Refused, ///< said to be not run
-    Unknown, ///< said to be unknown, or cut off
+    Refused, ///< not run according to the entry, or the entry wasn't reachable
+    Unknown, ///< unknown according to the entry, or the answer was cut off
 };
 auto toString(ObservedOutcome outcome) -> const char *;
 
@@ -34,12 +34,12 @@
     Arrival arrival;
     ObservedOutcome outcome = ObservedOutcome::None;
     std::string code; ///< of a refusal or error
-    Duration firstToken; ///< from the intended send time; 0: none came
-    Duration whole; ///< from the intended send time to the end
-    int gaps = 0;
-    int gapsWithinLimit = 0; ///< no longer than the class's limit
+    Duration firstToken; ///< from the scheduled send time; 0: no token came
+    Duration whole; ///< from the scheduled send time to the end
+    int gaps = 0; ///< times between tokens
+    int gapsWithinLimit = 0; ///< gaps no longer than the class's limit
     bool wasResent = false;
-    bool saidNotRun = false; ///< every answer said so
+    bool saidNotRun = false; ///< every answer said that the request wasn't run
 };
 
 /// Times between tokens of one class, in microseconds.
@@ -50,8 +50,8 @@
 struct CallerOptions {
     std::vector<Endpoint> entries;
     std::vector<std::string> names; ///< models and adapters
-    std::vector<std::string> artifacts; ///< what each name stands for, to check answers
-    std::string runId; ///< part of every key, so that two runs don't meet
+    std::vector<std::string> artifacts; ///< artifact that each name resolves to, for the check of answers
+    std::string runId; ///< part of every key, so that the keys of two runs differ
 };
 
 class Caller
@@ -64,7 +64,7 @@
     auto gaps(std::size_t classIndex) const -> const Gaps &;
     auto keyOf(const Arrival &arrival) const -> std::string;
     auto inFlight() const -> std::size_t;
-    auto maxSendDelay() const -> Duration; ///< the most that a request was sent after its time: this tool's own lag
+    auto maxSendDelay() const -> Duration; ///< longest delay of a send after its scheduled time: this tool's own lag
 
     /// Starts the run; `done` is called when every request has ended.
     auto start(std::function<void()> done) -> void;
--- a/load/main.cpp
+++ b/load/main.cpp
@@ -1,5 +1,5 @@
-// kingcup-load: an open-loop load and experiment tool. Sends a workload through the entries, reads the ground truth from the stand-ins and
-// prints what came of it. Exit code 0 if nothing was wrong, doubled, lost or falsely said to be not run; 2 otherwise; 1 for bad input.
+// kingcup-load: an open-loop load and experiment tool. Sends a workload through the entries, reads the ground truth from the fakes and prints a
+// report. Exit code 0 if no request was wrong, doubled, lost or falsely reported as not run; 2 otherwise; 1 for bad input.
 #include "caller.h"
 #include "net/http.h"
 #include "report.h"
@@ -43,16 +43,18 @@
     add("help", "");
     add("workload", Options::value(&arguments.workload), "workload file");
     add("declarations", Options::value(&arguments.declarations), "folder or file that declares the models");
-    add("entry", Options::value(&arguments.entries)->composing(), "an entry's callers' port; may be repeated");
-    add("truth", Options::value(&arguments.truth), "the stand-ins' admin port");
+    add("entry", Options::value(&arguments.entries)->composing(), "address of an entry's port for callers; may be repeated");
+    add("truth", Options::value(&arguments.truth), "address of the fakes' admin port");
     add("json", Options::value(&arguments.json), "file for the report as JSON");
-    add("seed", Options::value(&arguments.seed), "in place of the file's");
-    add("rate", Options::value(&arguments.rate), "factor on all rates, in place of the file's");
-    add("duration", Options::value(&arguments.duration), "measured seconds, in place of the file's");
-    add("warmup", Options::value(&arguments.warmup), "seconds before, in place of the file's");
+    add("seed", Options::value(&arguments.seed), "replaces the file's seed");
+    add("rate", Options::value(&arguments.rate), "factor on all rates, replaces the file's");
+    add("duration", Options::value(&arguments.duration), "measured seconds, replaces the file's");
+    add("warmup", Options::value(&arguments.warmup), "seconds before the measurement, replaces the file's");
     add("wait-resident", Options::bool_switch(&arguments.waitsForResidents), "first wait until every declared artifact is resident");
-    add("drain-s", Options::value(&arguments.drainSeconds), "how long to wait for answers after the last request; what is open then counts as unknown");
-    add("ready-s", Options::value(&arguments.readySeconds), "how long to wait for that");
+    add("drain-s",
+        Options::value(&arguments.drainSeconds),
+        "seconds to wait for answers after the last request; requests without an answer then count as unknown");
+    add("ready-s", Options::value(&arguments.readySeconds), "seconds that wait-resident waits");
     Options::positional_options_description positional;
     positional.add("workload", 1);
     Options::variables_map map;
--- a/load/pathcost/main.cpp
+++ b/load/pathcost/main.cpp
@@ -1,9 +1,9 @@
-// What the way through an entry and an agent costs against calling the target directly: added latency, and processor time for each
-// request. Direct and indirect rounds alternate in one run, so that both meet the same state of the machine.
+// kingcup-pathcost: measures the cost of the path through an entry and an agent compared with calling the target directly: added latency, and CPU
+// time for each request. Direct and indirect rounds alternate in one run, so that both run under the same conditions of the machine.
 //
 //   kingcup-pathcost DIRECT-IP:PORT DIRECT-PATH ENTRY-IP:PORT ENTRY-PATH REQUESTS CALLERS [PID...]
 //
-// A closed loop: each caller sends its next request once the last is answered. PIDs: whose processor time is counted.
+// Closed loop: each caller sends its next request when the previous one is answered. PID: a process whose CPU time is counted.
 #include "net/http.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 using namespace KingCup;
 
-constexpr int Rounds = 10; // of each kind
+constexpr int Rounds = 10; // of each path
 constexpr int MinArguments = 7;
 constexpr double Median = 0.5;
 constexpr double Tail = 0.99;
@@ -29,7 +29,7 @@
 struct CallPath {
     Endpoint server;
     std::string path;
-    std::vector<double> millis; // of each request
+    std::vector<double> millis; // latency of each request
     int failed = 0;
     double cpuSeconds = 0;
     double seconds = 0;
@@ -37,7 +37,7 @@
 
 auto cpuSecondsOf(const std::vector<std::string> &pids) -> double
 {
-    constexpr int FieldsBeforeTimes = 11; // behind the name: state ... cmajflt
+    constexpr int FieldsBeforeTimes = 11; // after the process name: state ... cmajflt
     double ticks = 0;
     for (const auto &pid : pids) {
         std::ifstream file("/proc/" + pid + "/stat");
--- a/load/report.cpp
+++ b/load/report.cpp
@@ -12,7 +12,7 @@
 
 using json = nlohmann::json;
 
-constexpr double GapShare = 0.95; ///< of a request's gaps that must keep the limit
+constexpr double GapShare = 0.95; ///< share of a request's gaps that must be within the limit
 constexpr double MicrosPerMilli = 1000;
 constexpr int NameWidth = 22;
 constexpr int NumberWidth = 9;
@@ -23,10 +23,10 @@
     int late = 0;
     int refused = 0;
     int unknown = 0;
-    int wrong = 0; ///< another's answer, or parts missing
-    int doubled = 0; ///< ran more than once though it may not
-    int lost = 0; ///< said to be delivered, but never ran
-    int falseNotRun = 0; ///< said to be not run, but ran
+    int wrong = 0; ///< another request's answer, out of order, or with parts missing
+    int doubled = 0; ///< run-once requests that ran more than once
+    int lost = 0; ///< run-once requests that were reported as delivered, but never ran
+    int falseNotRun = 0; ///< run-once requests that were reported as not run, but ran
     int resent = 0;
     std::vector<double> firstToken; ///< milliseconds
     std::vector<double> whole;
@@ -44,7 +44,7 @@
     return requestClass.gap.inMicros() == 0 || record.gapsWithinLimit >= GapShare * record.gaps;
 }
 
-/// How often the request with that key ran, by the stand-ins.
+/// How often the request with this key ran, according to the fakes.
 auto executions(const json &truth, const std::string &key) -> int
 {
     const auto services = truth.find("services");
--- a/load/report.h
+++ b/load/report.h
@@ -1,4 +1,4 @@
-// What a run came to: verdicts from the callers' records and the stand-ins' ground truth, as a table and as JSON.
+// Report of a run: results from the callers' records and the fakes' ground truth, as a table and as JSON.
 #pragma once
 
 #include "caller.h"
@@ -9,7 +9,7 @@
 namespace KingCup
 {
 
-/// The stand-ins' GET /truth, at the end of the warm-up and at the end of the run.
+/// Answers of the fakes to GET /truth, at the end of the warm-up and at the end of the run.
 struct GroundTruth {
     nlohmann::json before;
     nlohmann::json after;
--- a/load/workload.cpp
+++ b/load/workload.cpp
@@ -15,7 +15,7 @@
 constexpr double MaxValue = 1e9;
 constexpr double MicrosPerMilli = 1000;
 
-/// Reads one value; answers with what is wrong, or nothing.
+/// Reads one value. Returns an error text, or an empty text if the value is valid.
 using Reader = std::function<std::string(const std::string &text)>;
 using Readers = std::map<std::string, Reader>;
 
--- a/load/workload.h
+++ b/load/workload.h
@@ -1,19 +1,19 @@
-// A workload file: what is asked for, how often, how soon, and what goes wrong meanwhile. INI, read with all findings.
+// A workload file (INI): request classes with their rates and latency limits, bursts, and planned faults. Reading it reports all findings.
 //
 //   [run]           seed, duration-s (measured), warmup-s (before), rate (factor on all classes), accelerators
 //   [class NAME]    kind (model, plain), priority, per-second; plain: method, path, body ("{n}" is a number, "{key}" the key), once;
-//                   model: prompt-tokens, shared-tokens, output-tokens; in time: first-token-ms, gap-ms, whole-ms (0: not looked at);
-//                   budget-ms (told to the entry)
+//                   model: prompt-tokens, shared-tokens, output-tokens; latency limits: first-token-ms, gap-ms, whole-ms (0: no limit);
+//                   budget-ms (time budget that is sent to the entry)
 //   [popularity]    zipf (exponent over all models and adapters)
-//   [bursts]        at-once, factor, shortest-s, longest-s, among (the busiest names that bursts are drawn from)
+//   [bursts]        at-once, factor, shortest-s, longest-s, among (number of the most popular names that bursts are drawn from)
 //   [day]           period-s, amplitude (0 to 1)
-//   [callers]       resend (share that sends again, through another entry, what isn't answered by its deadline), crash (share of model
-//                   requests that crash their engine)
-//   [fault NAME]    at-s (after the warm-up), command (JSON for the stand-ins' POST /fault)
+//   [callers]       resend (share of requests that are sent again, through another entry, if they aren't answered by their deadline),
+//                   crash (share of model requests that crash their engine)
+//   [fault NAME]    at-s (after the warm-up), command (JSON for the fakes' POST /fault)
 //
 // Index of sections (search for [SECTION]):
-//   Values    what the file says
-//   Reading   from a file
+//   Values    contents of a workload file
+//   Reading   reads the file
 #pragma once
 
 #include "core/declarations.h"
@@ -34,25 +34,25 @@
     bool isModel = true;
     Priority priority = Priority::Standard;
     double perSecond = 0;
-    std::string method = "GET"; ///< plain
-    std::string path; ///< plain, from the entry's root
-    std::string body; ///< plain
-    bool runsOnce = false; ///< carries a key and may not run twice
+    std::string method = "GET"; ///< of plain requests
+    std::string path; ///< of plain requests, from the entry's root
+    std::string body; ///< of plain requests
+    bool runsOnce = false; ///< carries an idempotency key and must not run twice
     int promptTokens = 0;
-    int sharedTokens = 0; ///< of the prompt, the same for all requests of the class for one model
+    int sharedTokens = 0; ///< leading tokens of the prompt that are the same in all requests of the class for one model
     int outputTokens = 0;
-    Duration firstToken; ///< 0: not looked at
-    Duration gap; ///< that 95% of the times between tokens must keep; 0: not looked at
-    Duration whole; ///< 0: not looked at
-    Duration budget;
+    Duration firstToken; ///< limit; 0: none
+    Duration gap; ///< limit for 95% of the times between tokens; 0: none
+    Duration whole; ///< limit; 0: none
+    Duration budget; ///< time budget that is sent to the entry
 };
 
 struct Bursts {
-    int concurrent = 0;
+    int concurrent = 0; ///< bursts at the same time
     double factor = 10;
     Duration shortest = Duration::seconds(20);
     Duration longest = Duration::seconds(180);
-    int candidateNames = 0; ///< 0: all names
+    int candidateNames = 0; ///< number of the most popular names that bursts are drawn from; 0: all names
 };
 
 struct PlannedFault {
@@ -70,7 +70,7 @@
     std::vector<RequestClass> classes;
     double zipf = 1;
     Bursts bursts;
-    Duration dayPeriod; ///< 0: no curve
+    Duration dayPeriod; ///< 0: no daily variation
     double dayAmplitude = 0;
     double resendShare = 0;
     double crashShare = 0;
