--- a/tests/fuzz_declarations.cpp
+++ b/tests/fuzz_declarations.cpp
@@ -14,7 +14,7 @@
 {
 
 constexpr int Rounds = 3000;
-const MutatorOptions Mutations {.nasty
+const MutatorOptions Mutations {.dictionary
                                 = {"\n", "[", "]", "=", ";", "\"", "{", "}", "\\", std::string(1, '\0'), "\xff", "-1", "1e999", "nan", std::string(300, 'x')}};
 
 auto exampleText() -> std::string
--- a/tests/fuzz_platform.cpp
+++ b/tests/fuzz_platform.cpp
@@ -30,9 +30,9 @@
                            R"("waiting":1,"running":2,"kv_used":300,"kv_total":90000,"available":{"in_memory":["m1"],"on_disk":[]}})";
 
 const MutatorOptions Mutations {
-    .mostEdits = 4,
-    .longestPiece = 12,
-    .nasty = {"null", "-1", "1e308", "-1e308", "99999999999999999999", "[]", "{}", "\"\"", "true", "[[[[[[[[", "\xff\xfe", std::string(1, '\0'), "0.5"},
+    .maxEdits = 4,
+    .maxPieceLength = 12,
+    .dictionary = {"null", "-1", "1e308", "-1e308", "99999999999999999999", "[]", "{}", "\"\"", "true", "[[[[[[[[", "\xff\xfe", std::string(1, '\0'), "0.5"},
     .replacesValues = true};
 
 /// The text with random mutations, which depend on the round only.
--- a/tests/harness_cluster.cpp
+++ b/tests/harness_cluster.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-constexpr std::size_t TailLines = 25;
+constexpr std::size_t LogTailLines = 25;
 constexpr auto DefaultModels = R"([model sun]
 service = advisory
 current = 1
@@ -50,7 +50,7 @@
 };
 CATCH_REGISTER_LISTENER(FailureListener)
 
-auto binary(const std::string &name) -> std::string
+auto programPath(const std::string &name) -> std::string
 {
     const char *folder = std::getenv("KINGCUP_BIN");
     return std::string(folder == nullptr ? "build/bin" : folder) + "/" + name;
@@ -62,7 +62,7 @@
 }
 
 /// Members of one kind: "runner-1", "runner-2", ...
-auto numbered(const std::string &prefix, int count) -> std::vector<std::string>
+auto numberedIds(const std::string &prefix, int count) -> std::vector<std::string>
 {
     std::vector<std::string> names;
     for (int i = 1; i <= count; ++i) {
@@ -147,10 +147,10 @@
     Json fakesPorts;
     std::map<std::string, std::unique_ptr<ChildProcess>> processes;
     std::map<std::string, std::vector<std::string>> commands;
-    std::map<std::string, int> peers; // ports
-    std::map<std::string, int> proxiedPeers;
-    std::vector<int> callers;
-    std::vector<int> operators;
+    std::map<std::string, int> peerPorts; // ports
+    std::map<std::string, int> proxiedPeerPorts;
+    std::vector<int> callerPorts;
+    std::vector<int> operatorPorts;
     std::string ctlText;
     int ctlRuns = 0;
 
@@ -164,19 +164,19 @@
 
     auto startFakes() -> void;
     auto targetPort(const std::string &agent) const -> int;
-    auto link(Cluster &cluster, const std::string &name, int target) -> int;
-    auto platform(Cluster &cluster) -> std::string;
-    auto describeEntry(const std::string &id, const std::string &zone, const std::string &platformText) -> void;
-    auto describeAgent(Cluster &cluster, const std::string &id, const std::string &zone, const std::string &platformText) -> void;
+    auto addProxyLink(Cluster &cluster, const std::string &name, int target) -> int;
+    auto platformSettings(Cluster &cluster) -> std::string;
+    auto addEntry(const std::string &id, const std::string &zone, const std::string &platformText) -> void;
+    auto addAgent(Cluster &cluster, const std::string &id, const std::string &zone, const std::string &platformText) -> void;
     auto launch(const std::string &id) -> void;
-    auto printTails() -> void;
+    auto printLogTails() -> void;
 };
 
 auto Cluster::Private::startFakes() -> void
 {
     // Engines come back on the same port after a crash: it must not lie where the system takes ports for outgoing connections.
     constexpr int FakesPorts = 120;
-    std::vector<std::string> arguments {binary("kingcup-fakes"),
+    std::vector<std::string> arguments {programPath("kingcup-fakes"),
                                         "--base-port=" + std::to_string(freePorts(FakesPorts)),
                                         "--engine.count=" + std::to_string(options.runners),
                                         "--engine.fencing=" + options.fencing,
@@ -224,47 +224,47 @@
     throw std::runtime_error("no target for " + agent);
 }
 
-auto Cluster::Private::link(Cluster &cluster, const std::string &name, int target) -> int
+auto Cluster::Private::addProxyLink(Cluster &cluster, const std::string &name, int target) -> int
 {
     return cluster.admin("POST", "/links", {{"name", name}, {"target", endpointText(target)}})["port"];
 }
 
-auto Cluster::Private::platform(Cluster &cluster) -> std::string
+auto Cluster::Private::platformSettings(Cluster &cluster) -> std::string
 {
-    const auto table = link(cluster, "table", fakesPorts["table"]);
-    const auto hosts = link(cluster, "hosts", fakesPorts["hosts"]);
+    const auto table = addProxyLink(cluster, "table", fakesPorts["table"]);
+    const auto hosts = addProxyLink(cluster, "hosts", fakesPorts["hosts"]);
     return "[platform]\ntable = " + endpointText(table) + "\nobjects = " + endpointText(fakesPorts["objects"]) + "\nhosts = " + endpointText(hosts) + "\n";
 }
 
-auto Cluster::Private::describeEntry(const std::string &id, const std::string &zone, const std::string &platformText) -> void
+auto Cluster::Private::addEntry(const std::string &id, const std::string &zone, const std::string &platformText) -> void
 {
-    peers[id] = freePort();
-    callers.push_back(freePort());
-    operators.push_back(freePort());
+    peerPorts[id] = freePort();
+    callerPorts.push_back(freePort());
+    operatorPorts.push_back(freePort());
     std::ostringstream text;
-    text << "[process]\nrole = entry\nid = " << id << "\nzone = " << zone << "\n[listen]\ncallers = " << endpointText(callers.back())
-         << "\npeers = " << endpointText(peers[id]) << "\noperators = " << endpointText(operators.back()) << "\n"
+    text << "[process]\nrole = entry\nid = " << id << "\nzone = " << zone << "\n[listen]\ncallers = " << endpointText(callerPorts.back())
+         << "\npeers = " << endpointText(peerPorts[id]) << "\noperators = " << endpointText(operatorPorts.back()) << "\n"
          << platformText << options.settings;
-    commands[id] = {binary("kingcupd"), "--settings", folder.write(id + ".ini", text.str())};
+    commands[id] = {programPath("kingcupd"), "--settings", folder.write(id + ".ini", text.str())};
 }
 
-auto Cluster::Private::describeAgent(Cluster &cluster, const std::string &id, const std::string &zone, const std::string &platformText) -> void
+auto Cluster::Private::addAgent(Cluster &cluster, const std::string &id, const std::string &zone, const std::string &platformText) -> void
 {
-    peers[id] = freePort();
+    peerPorts[id] = freePort();
     const bool isPlain = id.compare(0, 6, "ledger") == 0;
-    const auto target = options.proxiesTargets ? link(cluster, "target:" + id, targetPort(id)) : targetPort(id);
+    const auto target = options.proxiesTargets ? addProxyLink(cluster, "target:" + id, targetPort(id)) : targetPort(id);
     std::ostringstream text;
-    text << "[process]\nrole = agent\nid = " << id << "\nzone = " << zone << "\n[listen]\npeers = " << endpointText(peers[id])
+    text << "[process]\nrole = agent\nid = " << id << "\nzone = " << zone << "\n[listen]\npeers = " << endpointText(peerPorts[id])
          << "\n[target]\nengine = " << endpointText(target) << "\n"
          << (isPlain ? "kind = plain\nservice = ledger\n" : "kind = runner\n") << platformText << options.settings;
-    commands[id] = {binary("kingcupd"), "--settings", folder.write(id + ".ini", text.str())};
+    commands[id] = {programPath("kingcupd"), "--settings", folder.write(id + ".ini", text.str())};
 }
 
-auto Cluster::Private::printTails() -> void
+auto Cluster::Private::printLogTails() -> void
 {
     for (const auto &[id, child] : processes) {
         const auto code = child->exitCode();
-        std::cerr << "---- " << id << (code ? " (ended, code " + std::to_string(*code) + ")" : "") << "\n" << child->logTail(TailLines) << "\n";
+        std::cerr << "---- " << id << (code ? " (ended, code " + std::to_string(*code) + ")" : "") << "\n" << child->logTail(LogTailLines) << "\n";
     }
 }
 
@@ -272,29 +272,29 @@
     : d(std::make_unique<Private>(std::move(options)))
 {
     d->startFakes();
-    const auto platformText = d->platform(*this);
-    std::vector<std::string> agents = numbered("runner-", d->options.runners);
-    for (const auto &ledger : numbered("ledger-", d->options.ledgers)) {
+    const auto platformText = d->platformSettings(*this);
+    std::vector<std::string> agents = numberedIds("runner-", d->options.runners);
+    for (const auto &ledger : numberedIds("ledger-", d->options.ledgers)) {
         agents.push_back(ledger);
     }
     std::size_t index = 0;
     auto hosts = Json::array();
-    auto describe = [&](const std::string &id, bool isEntry) {
+    auto addProcess = [&](const std::string &id, bool isEntry) {
         const std::string zone = Zones.at(index++ % Zones.size());
         if (isEntry) {
-            d->describeEntry(id, zone, platformText);
+            d->addEntry(id, zone, platformText);
         } else {
-            d->describeAgent(*this, id, zone, platformText);
+            d->addAgent(*this, id, zone, platformText);
         }
-        const auto proxied = d->link(*this, "peer:" + id, d->peers[id]);
+        const auto proxied = d->addProxyLink(*this, "peer:" + id, d->peerPorts[id]);
         hosts.push_back({{"id", id}, {"role", isEntry ? "entry" : "agent"}, {"zone", zone}, {"address", endpointText(proxied)}, {"state", "live"}});
     };
-    for (const auto &id : numbered("entry-", d->options.entries)) {
-        describe(id, true);
+    for (const auto &id : numberedIds("entry-", d->options.entries)) {
+        addProcess(id, true);
     }
     index = 0;
     for (const auto &id : agents) {
-        describe(id, false);
+        addProcess(id, false);
     }
     admin("POST", "/hosts", {{"hosts", hosts}});
     for (const auto &[id, command] : d->commands) {
@@ -310,7 +310,7 @@
 Cluster::Private::~Private()
 {
     if (hasFailed || std::uncaught_exceptions() > 0) {
-        printTails();
+        printLogTails();
         hasFailed = false;
     }
     // The stand-ins go last, so that nobody logs their absence.
@@ -443,8 +443,8 @@
 
 auto Cluster::ctl(const std::vector<std::string> &arguments, Duration limit) -> int
 {
-    std::vector<std::string> all {binary("kingcupctl")};
-    for (const int port : d->operators) {
+    std::vector<std::string> all {programPath("kingcupctl")};
+    for (const int port : d->operatorPorts) {
         all.push_back("--server=" + endpointText(port));
     }
     all.insert(all.end(), arguments.begin(), arguments.end());
@@ -463,17 +463,17 @@
 
 auto Cluster::operatorsPort(int entry) const -> int
 {
-    return d->operators.at(static_cast<std::size_t>(entry - 1));
+    return d->operatorPorts.at(static_cast<std::size_t>(entry - 1));
 }
 
 auto Cluster::callersPort(int entry) const -> int
 {
-    return d->callers.at(static_cast<std::size_t>(entry - 1));
+    return d->callerPorts.at(static_cast<std::size_t>(entry - 1));
 }
 
 auto Cluster::peersPort(const std::string &id) const -> int
 {
-    return d->peers.at(id);
+    return d->peerPorts.at(id);
 }
 
 auto Cluster::begin(int entry, HttpCall call) -> CallPtr
@@ -580,7 +580,7 @@
     admin("POST", "/hosts", {{"id", id}, {"state", state}});
 }
 
-auto checkAlways(Cluster &cluster) -> void
+auto checkInvariants(Cluster &cluster) -> void
 {
     const auto totals = cluster.truth()["totals"];
     INFO("ground truth: " << totals.dump());
--- a/tests/harness_cluster.h
+++ b/tests/harness_cluster.h
@@ -120,6 +120,6 @@
 };
 
 /// Fails the test if any promise that holds at every moment was broken: memory never overcommitted, nothing run twice.
-auto checkAlways(Cluster &cluster) -> void;
+auto checkInvariants(Cluster &cluster) -> void;
 
 } // namespace KingCup
--- a/tests/harness_process.cpp
+++ b/tests/harness_process.cpp
@@ -25,8 +25,8 @@
 namespace
 {
 
-constexpr int SignalledBase = 128;
-constexpr int LogFileMode = 0644;
+constexpr int SignalExitCodeBase = 128;
+constexpr int FileMode = 0644;
 // Below the range that Linux takes outgoing ports from. Each test process holds one slot of it, so that tests may run side by side.
 constexpr int FirstPort = 10000;
 constexpr int PortsPerSlot = 500;
@@ -58,12 +58,12 @@
 }
 
 /// The first port of this process's slot. The lock on the slot's file goes with the process, however it ends.
-auto claimSlot() -> int
+auto claimPortSlot() -> int
 {
     for (int tries = 0; tries < Slots; ++tries) {
         const int slot = (static_cast<int>(::getpid()) + tries) % Slots;
         const auto file = (std::filesystem::temp_directory_path() / ("kingcup-test-ports-" + std::to_string(slot))).string();
-        const int descriptor = ::open(file.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, LogFileMode);
+        const int descriptor = ::open(file.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, FileMode);
         if (descriptor >= 0 && ::flock(descriptor, LOCK_EX | LOCK_NB) == 0) {
             return FirstPort + slot * PortsPerSlot;
         }
@@ -83,7 +83,7 @@
     }
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, m_logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, LogFileMode);
+    posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, m_logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, FileMode);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
     auto argumentPointers = pointersTo(arguments);
     auto variablePointers = pointersTo(variables);
@@ -136,7 +136,7 @@
 {
     int status = 0;
     if (!m_exit && ::waitpid(m_pid, &status, WNOHANG) == m_pid) {
-        m_exit = WIFEXITED(status) ? WEXITSTATUS(status) : SignalledBase + WTERMSIG(status);
+        m_exit = WIFEXITED(status) ? WEXITSTATUS(status) : SignalExitCodeBase + WTERMSIG(status);
     }
     return m_exit;
 }
@@ -148,7 +148,7 @@
 
 auto freePorts(int count) -> int
 {
-    static const int FirstOfSlot = claimSlot();
+    static const int FirstOfSlot = claimPortSlot();
     static int next = 0;
     int found = 0;
     for (int tries = 0; tries < 2 * PortsPerSlot; ++tries) {
--- a/tests/harness_random.cpp
+++ b/tests/harness_random.cpp
@@ -13,7 +13,7 @@
 
 constexpr auto RoundPause = Duration::millis(60);
 constexpr auto ReachableLimit = Duration::seconds(60);
-constexpr auto EndLimit = Duration::seconds(60);
+constexpr auto CallEndLimit = Duration::seconds(60);
 constexpr auto Models = std::array {"sun", "moon", "tan"};
 
 auto artifactOf(const std::string &model) -> std::string
@@ -54,9 +54,9 @@
 {
 }
 
-auto RandomRun::between(int least, int most) -> int
+auto RandomRun::randomBetween(int min, int max) -> int
 {
-    return std::uniform_int_distribution<int>(least, most)(m_random);
+    return std::uniform_int_distribution<int>(min, max)(m_random);
 }
 
 auto RandomRun::chance(double probability) -> bool
@@ -68,10 +68,10 @@
 {
     constexpr auto Fencings = std::array {"checked", "ignored", "alternate"};
     ClusterOptions options;
-    options.runners = between(2, 4);
-    options.fencing = Fencings.at(static_cast<std::size_t>(between(0, 2)));
+    options.runners = randomBetween(2, 4);
+    options.fencing = Fencings.at(static_cast<std::size_t>(randomBetween(0, 2)));
     options.proxiesTargets = true;
-    options.fakes = {"--engine.memory-gb=" + std::to_string(between(30, 60)), "--seed=" + std::to_string(between(1, 1000000))};
+    options.fakes = {"--engine.memory-gb=" + std::to_string(randomBetween(30, 60)), "--seed=" + std::to_string(randomBetween(1, 1000000))};
     return options;
 }
 
@@ -80,48 +80,48 @@
     m_cluster.bringUp();
     const auto until = m_cluster.loop().now() + span;
     while (m_cluster.loop().now() < until) {
-        work();
+        startRequest();
         if (chance(0.12)) {
-            breakSomething();
+            injectFault();
         }
         if (chance(0.06)) {
-            mendProcesses();
+            restoreProcesses();
         }
         if (chance(0.04)) {
             m_cluster.heal();
         }
         m_cluster.sleep(RoundPause);
-        checkEnded();
-        checkAlways(m_cluster);
+        checkEndedCalls();
+        checkInvariants(m_cluster);
     }
     m_cluster.heal();
     m_cluster.fault({{"part", "engine"}, {"loseRate", 0}, {"lateRate", 0}, {"dropAnswerRate", 0}, {"slow", 1}});
-    mendProcesses();
+    restoreProcesses();
     m_cluster.waitFor(
         "every call ends",
         [&] {
-            checkEnded();
+            checkEndedCalls();
             const auto isChecked = [](const auto &one) {
                 return one.checked;
             };
             return std::all_of(m_completions.begin(), m_completions.end(), isChecked) && std::all_of(m_debits.begin(), m_debits.end(), isChecked);
         },
-        EndLimit);
+        CallEndLimit);
     checkReachable();
     checkDebits();
-    checkStops();
-    checkAlways(m_cluster);
+    checkPlannedStops();
+    checkInvariants(m_cluster);
     return m_counts;
 }
 
-auto RandomRun::work() -> void
+auto RandomRun::startRequest() -> void
 {
-    const int entry = between(1, 2);
+    const int entry = randomBetween(1, 2);
     ++m_serial;
     if (chance(0.6)) {
-        const std::string model = Models.at(static_cast<std::size_t>(between(0, 2)));
+        const std::string model = Models.at(static_cast<std::size_t>(randomBetween(0, 2)));
         const auto prompt = "prompt " + std::to_string(m_serial);
-        const int tokens = between(1, 60);
+        const int tokens = randomBetween(1, 60);
         m_completions.push_back({m_cluster.beginCompletion(entry, model, prompt, tokens, chance(0.8)), artifactOf(model), prompt, tokens});
         ++m_counts.completions;
         return;
@@ -129,7 +129,7 @@
     auto key = "random-" + std::to_string(m_serial);
     if (!m_debits.empty() && chance(0.4)) {
         const auto recent = std::min<std::size_t>(m_debits.size(), 10);
-        key = m_debits[m_debits.size() - 1 - static_cast<std::size_t>(between(0, static_cast<int>(recent) - 1))].key;
+        key = m_debits[m_debits.size() - 1 - static_cast<std::size_t>(randomBetween(0, static_cast<int>(recent) - 1))].key;
         ++m_counts.resends;
     }
     // A key stands for one request: every send of it must read the same.
@@ -138,24 +138,24 @@
     ++m_counts.debits;
 }
 
-auto RandomRun::breakSomething() -> void
+auto RandomRun::injectFault() -> void
 {
-    switch (between(0, 3)) {
+    switch (randomBetween(0, 3)) {
     case 0:
-        return breakProcess();
+        return injectProcessFault();
     case 1:
-        return breakStore();
+        return injectPlatformFault();
     case 2:
-        return breakLink();
+        return injectLinkFault();
     default:
-        return breakEngine();
+        return injectEngineFault();
     }
 }
 
-auto RandomRun::breakProcess() -> void
+auto RandomRun::injectProcessFault() -> void
 {
     auto ids = m_cluster.ids(chance(0.25) ? "entry-" : (chance(0.5) ? "runner-" : "ledger-"));
-    const auto &id = ids.at(static_cast<std::size_t>(between(0, static_cast<int>(ids.size()) - 1)));
+    const auto &id = ids.at(static_cast<std::size_t>(randomBetween(0, static_cast<int>(ids.size()) - 1)));
     if (m_cluster.process(id).exitCode()) {
         return;
     }
@@ -169,49 +169,52 @@
     }
 }
 
-auto RandomRun::breakStore() -> void
+auto RandomRun::injectPlatformFault() -> void
 {
     constexpr auto Modes = std::array {"refuse", "hang", "drop-answer", "late-effect", "slow", "throttle"};
     constexpr auto HostModes = std::array {"freeze", "empty", "refuse", "wrong"};
     if (chance(0.2)) {
-        const std::string mode = HostModes.at(static_cast<std::size_t>(between(0, 3)));
+        const std::string mode = HostModes.at(static_cast<std::size_t>(randomBetween(0, 3)));
         m_cluster.fault({{"part", "hosts"}, {"mode", mode}});
         ++m_counts.faults["hosts-" + mode];
         return;
     }
-    const std::string mode = Modes.at(static_cast<std::size_t>(between(0, 5)));
-    m_cluster.fault(
-        {{"part", "table"}, {"mode", mode}, {"rate", chance(0.5) ? 1.0 : 0.3}, {"count", chance(0.5) ? between(1, 5) : 0}, {"ms", between(50, 3000)}});
+    const std::string mode = Modes.at(static_cast<std::size_t>(randomBetween(0, 5)));
+    m_cluster.fault({{"part", "table"},
+                     {"mode", mode},
+                     {"rate", chance(0.5) ? 1.0 : 0.3},
+                     {"count", chance(0.5) ? randomBetween(1, 5) : 0},
+                     {"ms", randomBetween(50, 3000)}});
     ++m_counts.faults["table-" + mode];
 }
 
-auto RandomRun::breakLink() -> void
+auto RandomRun::injectLinkFault() -> void
 {
     constexpr auto Modes = std::array {"cut", "freeze", "delay", "lose-up", "lose-down", "drip", "drop-answer"};
     constexpr auto Kinds = std::array {"peer:runner-", "peer:ledger-", "target:runner-", "target:ledger-", "peer:entry-"};
-    const std::string mode = Modes.at(static_cast<std::size_t>(between(0, 6)));
-    const auto name = Kinds.at(static_cast<std::size_t>(between(0, 4))) + std::to_string(between(1, 2));
-    m_cluster.fault({{"part", "link"}, {"name", name}, {"mode", mode}, {"ms", between(5, 800)}, {"bytesPerSecond", between(300, 20000)}});
+    const std::string mode = Modes.at(static_cast<std::size_t>(randomBetween(0, 6)));
+    const auto name = Kinds.at(static_cast<std::size_t>(randomBetween(0, 4))) + std::to_string(randomBetween(1, 2));
+    m_cluster.fault({{"part", "link"}, {"name", name}, {"mode", mode}, {"ms", randomBetween(5, 800)}, {"bytesPerSecond", randomBetween(300, 20000)}});
     ++m_counts.faults["link-" + mode];
 }
 
-auto RandomRun::breakEngine() -> void
+auto RandomRun::injectEngineFault() -> void
 {
     const auto ids = m_cluster.ids("runner-");
-    const auto &id = ids.at(static_cast<std::size_t>(between(0, static_cast<int>(ids.size()) - 1)));
+    const auto &id = ids.at(static_cast<std::size_t>(randomBetween(0, static_cast<int>(ids.size()) - 1)));
     if (chance(0.4)) {
         m_cluster.fault({{"part", "engine"}, {"id", id}, {"mode", "crash"}});
         ++m_counts.faults["engine-crash"];
     } else if (chance(0.3)) {
-        m_cluster.fault({{"part", "engine"}, {"id", id}, {"slow", between(2, 6)}});
+        m_cluster.fault({{"part", "engine"}, {"id", id}, {"slow", randomBetween(2, 6)}});
         ++m_counts.faults["engine-slow"];
     } else {
-        m_cluster.fault({{"part", "engine"}, {"loseRate", 0.2}, {"dropAnswerRate", 0.2}, {"lateRate", 0.3}, {"lateMostMs", between(200, 5000)}});
+        m_cluster.fault({{"part", "engine"}, {"loseRate", 0.2}, {"dropAnswerRate", 0.2}, {"lateRate", 0.3}, {"lateMostMs", randomBetween(200, 5000)}});
         ++m_counts.faults["engine-orders"];
     }
 }
 
-auto RandomRun::mendProcesses() -> void
+auto RandomRun::restoreProcesses() -> void
 {
     for (const auto &id : m_stopped) {
         m_cluster.resume(id);
@@ -228,7 +231,7 @@
 }
 
 /// Looks at calls that have ended since: what they say must be true at once.
-auto RandomRun::checkEnded() -> void
+auto RandomRun::checkEndedCalls() -> void
 {
     for (auto &completion : m_completions) {
         if (completion.checked || !completion.call->done) {
@@ -304,7 +307,7 @@
 }
 
 /// With everything healthy, a planned stop of every process cuts nothing off.
-auto RandomRun::checkStops() -> void
+auto RandomRun::checkPlannedStops() -> void
 {
     for (const auto *prefix : {"entry-", "runner-", "ledger-"}) {
         for (const auto &id : m_cluster.ids(prefix)) {
--- a/tests/harness_random.h
+++ b/tests/harness_random.h
@@ -53,19 +53,19 @@
     };
 
     auto options() -> ClusterOptions;
-    auto between(int least, int most) -> int;
+    auto randomBetween(int min, int max) -> int;
     auto chance(double probability) -> bool;
-    auto work() -> void;
-    auto breakSomething() -> void;
-    auto breakProcess() -> void;
-    auto breakStore() -> void;
-    auto breakLink() -> void;
-    auto breakEngine() -> void;
-    auto mendProcesses() -> void;
-    auto checkEnded() -> void;
+    auto startRequest() -> void;
+    auto injectFault() -> void;
+    auto injectProcessFault() -> void;
+    auto injectPlatformFault() -> void;
+    auto injectLinkFault() -> void;
+    auto injectEngineFault() -> void;
+    auto restoreProcesses() -> void;
+    auto checkEndedCalls() -> void;
     auto checkDebits() -> void;
     auto checkReachable() -> void;
-    auto checkStops() -> void;
+    auto checkPlannedStops() -> void;
 
     std::mt19937_64 m_random;
     Cluster m_cluster;
--- a/tests/mutator.h
+++ b/tests/mutator.h
@@ -11,9 +11,9 @@
 {
 
 struct MutatorOptions {
-    std::size_t mostEdits = 8; ///< of one text; at least one is made
-    std::size_t longestPiece = 40; ///< bytes that are cut or doubled at once
-    std::vector<std::string> nasty; ///< what parsers trip over
+    std::size_t maxEdits = 8; ///< of one text; at least one is made
+    std::size_t maxPieceLength = 40; ///< bytes that are cut or doubled at once
+    std::vector<std::string> dictionary; ///< what parsers trip over
     bool replacesValues = false; ///< nasty text takes the place of a JSON field's value, so that it is likely to be read; else it is inserted
 };
 
@@ -28,7 +28,7 @@
 
     auto mutate(std::string text) -> std::string
     {
-        const auto edits = 1 + below(m_options.mostEdits);
+        const auto edits = 1 + below(m_options.maxEdits);
         for (std::size_t edit = 0; edit < edits && !text.empty(); ++edit) {
             editOnce(text);
         }
@@ -44,7 +44,7 @@
     auto editOnce(std::string &text) -> void
     {
         const auto at = below(text.size());
-        const auto length = 1 + below(std::min(text.size() - at, m_options.longestPiece));
+        const auto length = 1 + below(std::min(text.size() - at, m_options.maxPieceLength));
         switch (below(4)) {
         case 0:
             text.erase(at, length);
@@ -53,23 +53,23 @@
             text.insert(below(text.size()), text.substr(at, length));
             break;
         case 2:
-            addNasty(text, at);
+            applyDictionary(text, at);
             break;
         default:
             text[at] = static_cast<char>(below(256));
         }
     }
 
-    auto addNasty(std::string &text, std::size_t at) -> void
+    auto applyDictionary(std::string &text, std::size_t at) -> void
     {
         if (!m_options.replacesValues) {
-            text.insert(at, m_options.nasty[below(m_options.nasty.size())]);
+            text.insert(at, m_options.dictionary[below(m_options.dictionary.size())]);
             return;
         }
         const auto colon = text.find(':', at);
         if (colon != std::string::npos) {
             const auto end = std::min(text.find_first_of(",}]", colon), text.size());
-            text.replace(colon + 1, end - colon - 1, m_options.nasty[below(m_options.nasty.size())]);
+            text.replace(colon + 1, end - colon - 1, m_options.dictionary[below(m_options.dictionary.size())]);
         }
     }
 
--- a/tests/system_answers.cpp
+++ b/tests/system_answers.cpp
@@ -9,7 +9,7 @@
 {
 
 /// Never a wrong or doubled token; and an answer that claims to be whole is whole.
-auto checkHonest(const CallPtr &call, const std::string &artifact, const std::string &prompt, int tokens) -> void
+auto checkAnswer(const CallPtr &call, const std::string &artifact, const std::string &prompt, int tokens) -> void
 {
     const auto expected = expectedText(artifact, prompt, tokens);
     const auto got = call->text();
@@ -20,31 +20,31 @@
     }
 }
 
-struct Asked {
+struct PendingCompletion {
     CallPtr call;
     std::string artifact;
     std::string prompt;
     int tokens;
 };
 
-auto askMany(Cluster &cluster, int count, int tokens) -> std::vector<Asked>
+auto beginCompletions(Cluster &cluster, int count, int tokens) -> std::vector<PendingCompletion>
 {
-    std::vector<Asked> asked;
+    std::vector<PendingCompletion> pending;
     for (int i = 0; i < count; ++i) {
         const std::string model = i % 3 == 0 ? "moon" : "sun";
         const auto prompt = "question " + std::to_string(i);
-        asked.push_back({cluster.beginCompletion(1 + i % 2, model, prompt, tokens, i % 4 != 3), model + "@1", prompt, tokens});
+        pending.push_back({cluster.beginCompletion(1 + i % 2, model, prompt, tokens, i % 4 != 3), model + "@1", prompt, tokens});
     }
-    return asked;
+    return pending;
 }
 
-auto checkAll(Cluster &cluster, const std::vector<Asked> &asked) -> int
+auto awaitAndCheckAll(Cluster &cluster, const std::vector<PendingCompletion> &pending) -> int
 {
     int delivered = 0;
-    for (const auto &one : asked) {
+    for (const auto &one : pending) {
         cluster.waitFor(
             "an answer ends", [&] { return one.call->done; }, Duration::seconds(60));
-        checkHonest(one.call, one.artifact, one.prompt, one.tokens);
+        checkAnswer(one.call, one.artifact, one.prompt, one.tokens);
         delivered += one.call->outcome() == "delivered" ? 1 : 0;
     }
     return delivered;
@@ -60,7 +60,7 @@
     INFO("what fails: " << fault);
     Cluster cluster({.proxiesTargets = fault == "link to the engine"});
     cluster.bringUp();
-    const auto asked = askMany(cluster, 16, 100);
+    const auto pending = beginCompletions(cluster, 16, 100);
     cluster.sleep(Duration::millis(700));
     if (fault == "engine") {
         cluster.fault({{"part", "engine"}, {"id", "runner-1"}, {"mode", "crash"}});
@@ -70,9 +70,9 @@
         const std::string name = fault == "link to the agent" ? "peer:runner-1" : "target:runner-1";
         cluster.fault({{"part", "link"}, {"name", name}, {"mode", "cut"}});
     }
-    const int delivered = checkAll(cluster, asked);
+    const int delivered = awaitAndCheckAll(cluster, pending);
     CHECK(delivered == 16);
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("answers that come late, slowly or through a link that stalls are matched to their request")
@@ -81,11 +81,11 @@
     INFO("links to the agents: " << mode);
     Cluster cluster;
     cluster.bringUp();
-    const auto asked = askMany(cluster, 12, 40);
+    const auto pending = beginCompletions(cluster, 12, 40);
     cluster.sleep(Duration::millis(200));
     cluster.fault({{"part", "link"}, {"name", "peer:runner-1"}, {"mode", mode}, {"ms", 600}, {"bytesPerSecond", 2000}});
     cluster.sleep(Duration::seconds(3));
     cluster.heal();
-    checkAll(cluster, asked);
-    checkAlways(cluster);
+    awaitAndCheckAll(cluster, pending);
+    checkInvariants(cluster);
 }
--- a/tests/system_config.cpp
+++ b/tests/system_config.cpp
@@ -46,9 +46,9 @@
 /// One of several runs of kingcupctl at the same time.
 auto startApply(const Cluster &cluster, int entry, const std::string &folder, const TemporaryFolder &logs) -> std::unique_ptr<ChildProcess>
 {
-    const char *folderOfPrograms = std::getenv("KINGCUP_BIN");
-    REQUIRE(folderOfPrograms != nullptr);
-    const auto tool = std::string(folderOfPrograms) + "/kingcupctl";
+    const char *programFolder = std::getenv("KINGCUP_BIN");
+    REQUIRE(programFolder != nullptr);
+    const auto tool = std::string(programFolder) + "/kingcupctl";
     const auto server = "127.0.0.1:" + std::to_string(cluster.operatorsPort(entry));
     return std::make_unique<ChildProcess>(std::vector<std::string> {tool, "--server", server, "apply", folder, "--expect", "1"},
                                           logs.path() + "/apply-" + std::to_string(entry) + ".log");
--- a/tests/system_crasher.cpp
+++ b/tests/system_crasher.cpp
@@ -20,5 +20,5 @@
     }
     CHECK(cluster.truth()["totals"]["crashes"] >= 1);
     cluster.waitFor("others are answered", [&] { return cluster.complete(1, "sun", "a harmless one", 5)->outcome() == "delivered"; });
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
--- a/tests/system_fakes.cpp
+++ b/tests/system_fakes.cpp
@@ -9,12 +9,12 @@
 {
 
 /// The stand-ins alone.
-struct Alone {
+struct FakesFixture {
     Cluster cluster;
     HttpClient client {cluster.loop()};
     Json ports;
 
-    Alone()
+    FakesFixture()
         : cluster({.entries = 0, .runners = 0, .ledgers = 0, .fakes = {"--engine.count=1", "--service.groups=ledger:1", "--engine.restart-ms=300"}})
         , ports(cluster.admin("GET", "/ports"))
     {
@@ -58,15 +58,15 @@
 TEST_CASE("an engine that is given more than it has room for counts it and crashes")
 {
     // A load is ordered that doesn't fit beside what is there. On a real accelerator the engine dies, and every request on it.
-    Alone alone;
-    REQUIRE(alone.order("sun@1", 40).status == 202);
-    REQUIRE(alone.cluster.truth()["totals"]["overcommits"] == 0);
-    alone.order("moon@1", 30);
-    REQUIRE(alone.cluster.truth()["totals"]["overcommits"] == 1);
-    REQUIRE(alone.call(alone.enginePort(), {.path = "/status"}).end == CallEnd::NotSent);
+    FakesFixture fixture;
+    REQUIRE(fixture.order("sun@1", 40).status == 202);
+    REQUIRE(fixture.cluster.truth()["totals"]["overcommits"] == 0);
+    fixture.order("moon@1", 30);
+    REQUIRE(fixture.cluster.truth()["totals"]["overcommits"] == 1);
+    REQUIRE(fixture.call(fixture.enginePort(), {.path = "/status"}).end == CallEnd::NotSent);
     HttpAnswer status;
-    alone.cluster.waitFor("the engine is back", [&] {
-        status = alone.call(alone.enginePort(), {.path = "/status"});
+    fixture.cluster.waitFor("the engine is back", [&] {
+        status = fixture.call(fixture.enginePort(), {.path = "/status"});
         return status.status == 200;
     });
     const auto back = Json::parse(status.body);
@@ -76,69 +76,70 @@
 
 TEST_CASE("the ledger stand-in counts each execution of a key")
 {
-    Alone alone;
-    REQUIRE(alone.debit(alone.servicePort(), "once").status == 201);
-    REQUIRE(alone.debit(alone.servicePort(), "twice").status == 201);
-    REQUIRE(alone.debit(alone.servicePort(), "twice").status == 201);
-    REQUIRE(alone.cluster.executions("once") == 1);
-    REQUIRE(alone.cluster.executions("twice") == 2);
-    REQUIRE(alone.cluster.truth()["totals"]["doubled"] == Json::array({"ledger:twice"}));
+    FakesFixture fixture;
+    REQUIRE(fixture.debit(fixture.servicePort(), "once").status == 201);
+    REQUIRE(fixture.debit(fixture.servicePort(), "twice").status == 201);
+    REQUIRE(fixture.debit(fixture.servicePort(), "twice").status == 201);
+    REQUIRE(fixture.cluster.executions("once") == 1);
+    REQUIRE(fixture.cluster.executions("twice") == 2);
+    REQUIRE(fixture.cluster.truth()["totals"]["doubled"] == Json::array({"ledger:twice"}));
 }
 
 TEST_CASE("a table write whose answer is dropped has taken effect")
 {
     // The write is committed and the connection dies before the answer: the writer can't tell it from a write that never arrived.
-    Alone alone;
-    const int table = alone.ports["table"];
-    alone.cluster.fault({{"part", "table"}, {"mode", "drop-answer"}, {"count", 1}});
+    FakesFixture fixture;
+    const int table = fixture.ports["table"];
+    fixture.cluster.fault({{"part", "table"}, {"mode", "drop-answer"}, {"count", 1}});
     const HttpCall write {.method = "POST", .path = "/table/transact", .body = R"({"id":"w","ops":[{"op":"put","key":"k","expect":0,"value":"v"}]})"};
-    REQUIRE(alone.call(table, write).end == CallEnd::Broken);
-    REQUIRE(alone.call(table, write).status == 409);
-    REQUIRE(alone.cluster.admin("GET", "/rows?prefix=k")["rows"].size() == 1);
+    REQUIRE(fixture.call(table, write).end == CallEnd::Broken);
+    REQUIRE(fixture.call(table, write).status == 409);
+    REQUIRE(fixture.cluster.admin("GET", "/rows?prefix=k")["rows"].size() == 1);
 }
 
 TEST_CASE("each fault of a proxied link does what it says, and healing ends it")
 {
-    Alone alone;
-    const int port = alone.cluster.admin("POST", "/links", {{"name", "l"}, {"target", "127.0.0.1:" + std::to_string(alone.servicePort())}})["port"];
+    FakesFixture fixture;
+    const int port = fixture.cluster.admin("POST", "/links", {{"name", "l"}, {"target", "127.0.0.1:" + std::to_string(fixture.servicePort())}})["port"];
     const auto setMode = [&](const std::string &mode) {
-        alone.cluster.fault({{"part", "link"}, {"name", "l"}, {"mode", mode}});
+        fixture.cluster.fault({{"part", "link"}, {"name", "l"}, {"mode", mode}});
     };
-    REQUIRE(alone.debit(port, "plain").status == 201);
+    REQUIRE(fixture.debit(port, "plain").status == 201);
     setMode("drop-answer");
-    REQUIRE(alone.debit(port, "dropped").end == CallEnd::Broken);
-    REQUIRE(alone.cluster.executions("dropped") == 1);
+    REQUIRE(fixture.debit(port, "dropped").end == CallEnd::Broken);
+    REQUIRE(fixture.cluster.executions("dropped") == 1);
     setMode("cut");
-    REQUIRE(alone.debit(port, "cut").end != CallEnd::Complete);
-    REQUIRE(alone.cluster.executions("cut") == 0);
+    REQUIRE(fixture.debit(port, "cut").end != CallEnd::Complete);
+    REQUIRE(fixture.cluster.executions("cut") == 0);
     setMode("heal");
     setMode("lose-up");
-    REQUIRE(alone.debit(port, "lost").end == CallEnd::Timeout);
-    REQUIRE(alone.cluster.executions("lost") == 0);
+    REQUIRE(fixture.debit(port, "lost").end == CallEnd::Timeout);
+    REQUIRE(fixture.cluster.executions("lost") == 0);
     setMode("heal");
     setMode("lose-down");
-    REQUIRE(alone.debit(port, "unheard").end == CallEnd::Timeout);
-    REQUIRE(alone.cluster.executions("unheard") == 1);
+    REQUIRE(fixture.debit(port, "unheard").end == CallEnd::Timeout);
+    REQUIRE(fixture.cluster.executions("unheard") == 1);
     setMode("heal");
     setMode("freeze");
-    REQUIRE(alone.debit(port, "frozen").end == CallEnd::Timeout);
-    REQUIRE(alone.cluster.executions("frozen") == 0);
+    REQUIRE(fixture.debit(port, "frozen").end == CallEnd::Timeout);
+    REQUIRE(fixture.cluster.executions("frozen") == 0);
     setMode("heal");
-    REQUIRE(alone.debit(port, "healed").status == 201);
+    REQUIRE(fixture.debit(port, "healed").status == 201);
 }
 
 TEST_CASE("a connection that has lost bytes carries none of the later ones")
 {
     // A byte stream has no holes. A link that swallowed some events of a stream and passed the next ones on made whole answers look torn.
-    Alone alone;
-    const int port = alone.cluster.admin("POST", "/links", {{"name", "l"}, {"target", "127.0.0.1:" + std::to_string(alone.enginePort())}})["port"];
+    FakesFixture fixture;
+    const int port = fixture.cluster.admin("POST", "/links", {{"name", "l"}, {"target", "127.0.0.1:" + std::to_string(fixture.enginePort())}})["port"];
     const auto setMode = [&](const std::string &mode) {
-        alone.cluster.fault({{"part", "link"}, {"name", "l"}, {"mode", mode}});
+        fixture.cluster.fault({{"part", "link"}, {"name", "l"}, {"mode", mode}});
     };
-    REQUIRE(alone.order("sun@1", 40).status == 202);
-    alone.cluster.waitFor("the model is resident", [&] {
-        return alone.call(alone.enginePort(), {.path = "/status"}).body.find("sun@1") != std::string::npos
-            && alone.call(alone.enginePort(), {.method = "POST", .path = "/v1/completions", .body = R"({"model":"sun@1","prompt":"p","max_tokens":1})"}).status
+    REQUIRE(fixture.order("sun@1", 40).status == 202);
+    fixture.cluster.waitFor("the model is resident", [&] {
+        return fixture.call(fixture.enginePort(), {.path = "/status"}).body.find("sun@1") != std::string::npos
+            && fixture.call(fixture.enginePort(), {.method = "POST", .path = "/v1/completions", .body = R"({"model":"sun@1","prompt":"p","max_tokens":1})"})
+                   .status
             == 200;
     });
     constexpr int Tokens = 200;
@@ -147,15 +148,15 @@
     call.timeout = Duration::seconds(20);
     HttpAnswer answer;
     bool done = false;
-    startShortCall(alone.client, std::move(call), [&](const HttpAnswer &got) {
+    startShortCall(fixture.client, std::move(call), [&](const HttpAnswer &got) {
         answer = got;
         done = true;
     });
-    alone.cluster.sleep(Duration::millis(500));
+    fixture.cluster.sleep(Duration::millis(500));
     setMode("lose-down");
-    alone.cluster.sleep(Duration::millis(300));
+    fixture.cluster.sleep(Duration::millis(300));
     setMode("heal");
-    REQUIRE(alone.cluster.loop().runUntil([&] { return done; }, Duration::seconds(20)));
+    REQUIRE(fixture.cluster.loop().runUntil([&] { return done; }, Duration::seconds(20)));
     CallRecord record;
     record.body = answer.body;
     const auto got = record.text();
--- a/tests/system_leaving.cpp
+++ b/tests/system_leaving.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr auto Bound = Duration::seconds(4);
+constexpr auto NewWorkLimit = Duration::seconds(4);
 
 auto oneModel() -> ClusterOptions
 {
@@ -16,7 +16,7 @@
 }
 
 /// Calls that go on coming, to both entries.
-auto keepCalling(Cluster &cluster, Duration span) -> std::vector<CallPtr>
+auto sendCalls(Cluster &cluster, Duration span) -> std::vector<CallPtr>
 {
     std::vector<CallPtr> calls;
     const auto until = cluster.loop().now() + span;
@@ -37,7 +37,7 @@
     }
 }
 
-auto lastWork(Cluster &cluster, const std::string &id) -> std::int64_t
+auto lastNewWorkMillis(Cluster &cluster, const std::string &id) -> std::int64_t
 {
     const auto truth = cluster.truth();
     return truth[id.compare(0, 6, "ledger") == 0 ? "instances" : "engines"][id]["lastNewWorkMs"];
@@ -57,18 +57,18 @@
         const auto engines = cluster.truth()["engines"];
         return !engines["runner-1"]["resident"].empty() && !engines["runner-2"]["resident"].empty();
     });
-    auto calls = keepCalling(cluster, Duration::millis(500));
-    const auto toldAt = cluster.truth()["nowMs"].get<std::int64_t>();
+    auto calls = sendCalls(cluster, Duration::millis(500));
+    const auto announcedAt = cluster.truth()["nowMs"].get<std::int64_t>();
     if (way == "drain") {
         CHECK(cluster.ctl({"drain", id}) == 0);
     } else {
         cluster.setHost(id, "leaving");
     }
-    const auto later = keepCalling(cluster, Bound + Duration::seconds(2));
+    const auto later = sendCalls(cluster, NewWorkLimit + Duration::seconds(2));
     calls.insert(calls.end(), later.begin(), later.end());
     checkAllDelivered(cluster, calls);
-    CHECK(lastWork(cluster, id) - toldAt <= Bound.inMillis());
-    checkAlways(cluster);
+    CHECK(lastNewWorkMillis(cluster, id) - announcedAt <= NewWorkLimit.inMillis());
+    checkInvariants(cluster);
 }
 
 TEST_CASE("the last target of a service that gets SIGTERM refuses new work as not run")
--- a/tests/system_memory.cpp
+++ b/tests/system_memory.cpp
@@ -24,7 +24,7 @@
 }
 
 /// Demand that moves from model to model, so that copies are loaded and unloaded all the time.
-auto moveDemand(Cluster &cluster, Duration span) -> void
+auto shiftDemand(Cluster &cluster, Duration span) -> void
 {
     const auto until = cluster.loop().now() + span;
     int round = 0;
@@ -34,7 +34,7 @@
         open.push_back(cluster.beginCompletion(1 + round % 2, model, "round " + std::to_string(round), 20));
         ++round;
         cluster.sleep(Duration::millis(40));
-        checkAlways(cluster);
+        checkInvariants(cluster);
     }
     cluster.waitFor(
         "all completions end", [&] { return std::all_of(open.begin(), open.end(), [](const auto &call) { return call->done; }); }, Duration::seconds(60));
@@ -51,14 +51,14 @@
     Cluster cluster(tightOptions(fencing));
     cluster.fault({{"part", "engine"}, {"loseRate", 0.2}, {"dropAnswerRate", 0.4}, {"lateRate", 0.3}, {"lateMostMs", 5000}});
     cluster.waitFor("declarations are accepted", [&] { return cluster.ctl({"apply", cluster.writeDeclarations(cluster.declarations())}) == 0; });
-    moveDemand(cluster, Duration::seconds(20));
-    std::uint64_t troubled = 0;
+    shiftDemand(cluster, Duration::seconds(20));
+    std::uint64_t faultyOrders = 0;
     const auto truth = cluster.truth();
     for (const auto &engine : truth["engines"]) {
-        troubled += engine["ordersLost"].get<std::uint64_t>() + engine["ordersLate"].get<std::uint64_t>() + engine["ordersUnanswered"].get<std::uint64_t>();
+        faultyOrders += engine["ordersLost"].get<std::uint64_t>() + engine["ordersLate"].get<std::uint64_t>() + engine["ordersUnanswered"].get<std::uint64_t>();
     }
-    CHECK(troubled > 0);
-    checkAlways(cluster);
+    CHECK(faultyOrders > 0);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("agents that die and come back amid late orders never overcommit an engine")
@@ -74,11 +74,11 @@
         const auto id = "runner-" + std::to_string(1 + i % 4);
         cluster.kill(id);
         cluster.start(id);
-        checkAlways(cluster);
+        checkInvariants(cluster);
     }
     cluster.fault({{"part", "engine"}, {"lateRate", 0}});
     cluster.bringUp();
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("an engine that crashes and comes back empty is filled again without overcommitting it")
@@ -92,6 +92,6 @@
         cluster.sleep(Duration::millis(500));
     }
     cluster.bringUp();
-    checkAlways(cluster);
+    checkInvariants(cluster);
     CHECK(cluster.truth()["totals"]["crashes"] == 4);
 }
--- a/tests/system_path.cpp
+++ b/tests/system_path.cpp
@@ -51,7 +51,7 @@
     CHECK(cluster.executions("path-1") == 1);
     const auto balance = cluster.call(2, {.path = "/services/ledger/balance/asha"});
     CHECK(balance->json()["minutes"] == -7);
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("bad input gets a clear error, is not run and harms nothing")
@@ -125,5 +125,5 @@
         CHECK(debits[static_cast<std::size_t>(i)]->outcome() == "delivered");
         CHECK(cluster.executions("stop-" + std::to_string(i)) == 1);
     }
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
--- a/tests/system_pauses.cpp
+++ b/tests/system_pauses.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr auto Bound = Duration::seconds(4);
+constexpr auto NewWorkLimit = Duration::seconds(4);
 constexpr auto Pause = Duration::seconds(2);
 
 /// 4 runners of 40 GB (34 for weights) and 6 models of 10 and 14 GB: every plan is tight.
@@ -25,13 +25,13 @@
     return options;
 }
 
-auto lastWork(Cluster &cluster, const std::string &id) -> std::int64_t
+auto lastNewWorkMillis(Cluster &cluster, const std::string &id) -> std::int64_t
 {
     return cluster.truth()["instances"][id]["lastNewWorkMs"];
 }
 
 /// Lookups to both entries for a while; all answers are awaited.
-auto lookUp(Cluster &cluster, Duration span) -> std::vector<CallPtr>
+auto runLookups(Cluster &cluster, Duration span) -> std::vector<CallPtr>
 {
     std::vector<CallPtr> calls;
     const auto until = cluster.loop().now() + span;
@@ -65,11 +65,11 @@
         }
         cluster.sleep(Pause);
         cluster.resume(id);
-        checkAlways(cluster);
+        checkInvariants(cluster);
     }
     cluster.fault({{"part", "engine"}, {"lateRate", 0}});
     cluster.bringUp();
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("a target that is drained while the table is down gets no new work after the bound")
@@ -79,12 +79,12 @@
     cluster.bringUp();
     cluster.fault({{"part", "table"}, {"mode", "refuse"}});
     CHECK(cluster.ctl({"drain", "ledger-1"}) == 0);
-    const auto toldAt = cluster.truth()["nowMs"].get<std::int64_t>();
-    for (const auto &call : lookUp(cluster, Bound + Duration::seconds(2))) {
+    const auto announcedAt = cluster.truth()["nowMs"].get<std::int64_t>();
+    for (const auto &call : runLookups(cluster, NewWorkLimit + Duration::seconds(2))) {
         CHECK(call->outcome() == "delivered");
     }
-    CHECK(lastWork(cluster, "ledger-1") - toldAt <= Bound.inMillis());
-    CHECK(lastWork(cluster, "ledger-2") - toldAt > Bound.inMillis());
+    CHECK(lastNewWorkMillis(cluster, "ledger-1") - announcedAt <= NewWorkLimit.inMillis());
+    CHECK(lastNewWorkMillis(cluster, "ledger-2") - announcedAt > NewWorkLimit.inMillis());
 }
 
 TEST_CASE("an entry that was frozen while a target left doesn't get work to it")
@@ -95,22 +95,22 @@
     cluster.bringUp();
     cluster.stop("entry-2");
     CHECK(cluster.ctl({"drain", "ledger-1"}) == 0);
-    const auto toldAt = cluster.truth()["nowMs"].get<std::int64_t>();
+    const auto announcedAt = cluster.truth()["nowMs"].get<std::int64_t>();
     constexpr std::size_t Calls = 20;
     std::vector<CallPtr> calls;
     calls.reserve(Calls);
     while (calls.size() < Calls) {
         calls.push_back(cluster.begin(2, {.path = "/services/ledger/balance/asha"}));
     }
-    cluster.sleep(Bound);
+    cluster.sleep(NewWorkLimit);
     cluster.resume("entry-2");
     for (const auto &call : calls) {
         cluster.waitFor("a lookup ends", [&] { return call->done; });
         INFO("status " << call->status << " body " << call->body);
         CHECK((call->outcome() == "delivered" || call->outcome() == "not-run"));
     }
-    for (const auto &call : lookUp(cluster, Duration::seconds(1))) {
+    for (const auto &call : runLookups(cluster, Duration::seconds(1))) {
         CHECK(call->outcome() == "delivered");
     }
-    CHECK(lastWork(cluster, "ledger-1") - toldAt <= Bound.inMillis());
+    CHECK(lastNewWorkMillis(cluster, "ledger-1") - announcedAt <= NewWorkLimit.inMillis());
 }
--- a/tests/system_random.cpp
+++ b/tests/system_random.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr auto Span = Duration::seconds(8);
+constexpr auto RunDuration = Duration::seconds(8);
 
 struct SeedRange {
     std::uint64_t first = 1;
@@ -41,7 +41,7 @@
     for (auto seed = range.first; seed <= range.last; ++seed) {
         INFO("to run this again: tools/soak " << seed << " " << seed);
         std::cout << "seed " << seed << std::flush;
-        const auto counts = RandomRun(seed).run(Span);
+        const auto counts = RandomRun(seed).run(RunDuration);
         std::cout << ": " << counts.text() << std::endl;
         total.add(counts);
     }
--- a/tests/system_reachable.cpp
+++ b/tests/system_reachable.cpp
@@ -38,7 +38,7 @@
     cluster.fault({{"part", "engine"}, {"id", "runner-2"}, {"mode", "crash"}});
     cluster.waitFor(
         "every model answers on runner-3 alone", [&] { return everyModelAnswers(cluster, 1) && everyModelAnswers(cluster, 2); }, Duration::seconds(45));
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("a wrong host list takes nothing out of service")
@@ -67,5 +67,5 @@
     cluster.start("runner-1");
     cluster.waitFor("the new entry serves every model", [&] { return everyModelAnswers(cluster, 2); });
     CHECK(cluster.call(2, {.path = "/services/ledger/balance/asha"})->outcome() == "delivered");
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
--- a/tests/system_runonce.cpp
+++ b/tests/system_runonce.cpp
@@ -14,7 +14,7 @@
 }
 
 /// What an answer claims must agree with the ledger's own count.
-auto checkClaim(Cluster &cluster, const CallPtr &answer, const std::string &key) -> void
+auto checkOutcome(Cluster &cluster, const CallPtr &answer, const std::string &key) -> void
 {
     const int runs = cluster.executions(key);
     INFO("key " << key << " outcome " << answer->outcome() << " runs " << runs << " body " << answer->body);
@@ -28,7 +28,7 @@
 }
 
 /// Sends the same debit through the other entry until it gets a definite answer, as a caller would.
-auto sendAgain(Cluster &cluster, const std::string &key, int tries = 5) -> CallPtr
+auto resend(Cluster &cluster, const std::string &key, int tries = 5) -> CallPtr
 {
     CallPtr answer;
     for (int i = 0; i < tries; ++i) {
@@ -63,10 +63,10 @@
         const auto second = cluster.debit(2, "again-1", "asha", 3, "?hold-ms=1500");
         cluster.waitFor("the first is answered", [&] { return first->done; });
         CHECK(first->outcome() == "delivered");
-        checkClaim(cluster, second, "again-1");
+        checkOutcome(cluster, second, "again-1");
     }
     CHECK(cluster.executions("again-1") == 1);
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("a debit whose agent dies after it ran is never run again")
@@ -80,12 +80,12 @@
     cluster.kill(instance);
     cluster.waitFor("the caller is answered", [&] { return first->done; });
     CHECK(first->outcome() == "unknown");
-    const auto second = sendAgain(cluster, "killed-1", 1);
+    const auto second = resend(cluster, "killed-1", 1);
     CHECK(second->outcome() == "unknown");
     cluster.start(instance);
-    checkClaim(cluster, sendAgain(cluster, "killed-1", 1), "killed-1");
+    checkOutcome(cluster, resend(cluster, "killed-1", 1), "killed-1");
     CHECK(cluster.executions("killed-1") == 1);
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("a claim whose answer is lost after it took effect doubles nothing and is not called not-run")
@@ -98,12 +98,12 @@
         const auto key = "lost-" + std::to_string(i);
         cluster.fault({{"part", "table"}, {"mode", i % 2 == 0 ? "drop-answer" : "late-effect"}, {"op", "write"}, {"count", 1}, {"ms", 700}});
         const auto answer = cluster.debit(1 + i % 2, key, "asha", 3);
-        checkClaim(cluster, answer, key);
+        checkOutcome(cluster, answer, key);
         cluster.fault({{"part", "table"}, {"mode", "ok"}});
         cluster.sleep(Duration::millis(800));
-        checkClaim(cluster, sendAgain(cluster, key), key);
+        checkOutcome(cluster, resend(cluster, key), key);
     }
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("an agent that is paused and wakes up runs nothing a second time")
@@ -131,10 +131,10 @@
     cluster.sleep(Duration::millis(1000));
     for (std::size_t i = 0; i < first.size(); ++i) {
         const auto key = "paused-" + std::to_string(i);
-        checkClaim(cluster, first[i], key);
-        checkClaim(cluster, second[i], key);
+        checkOutcome(cluster, first[i], key);
+        checkOutcome(cluster, second[i], key);
     }
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
 
 TEST_CASE("with the table down a debit is refused as not run, and truly isn't")
@@ -152,7 +152,7 @@
         if (mode == "refuse") {
             CHECK(answer->outcome() == "not-run");
         }
-        checkClaim(cluster, answer, key);
+        checkOutcome(cluster, answer, key);
     }
     const auto lookup = cluster.call(1, {.path = "/services/ledger/balance/asha"});
     CHECK(lookup->outcome() == "delivered");
@@ -160,7 +160,7 @@
     cluster.waitFor("debits run again", [&] { return cluster.debit(1, "after-" + mode, "asha", 1)->outcome() == "delivered"; });
     for (int i = 0; i < 4; ++i) {
         const auto key = "outage-" + std::to_string(i);
-        checkClaim(cluster, sendAgain(cluster, key), key);
+        checkOutcome(cluster, resend(cluster, key), key);
     }
-    checkAlways(cluster);
+    checkInvariants(cluster);
 }
--- a/tests/textparts.h
+++ b/tests/textparts.h
@@ -9,7 +9,7 @@
 {
 
 /// How often `part` stands in `text`.
-inline auto countOf(const std::string &text, const std::string &part) -> int
+inline auto countOccurrences(const std::string &text, const std::string &part) -> int
 {
     int count = 0;
     for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) {
@@ -21,14 +21,14 @@
 /// The data of each whole server-sent event.
 inline auto eventData(const std::string &body) -> std::vector<std::string>
 {
-    constexpr std::string_view Mark = "data: ";
+    constexpr std::string_view DataPrefix = "data: ";
     std::vector<std::string> found;
     std::size_t at = 0;
     for (auto stop = body.find("\n\n"); stop != std::string::npos; stop = body.find("\n\n", at)) {
         const auto event = body.substr(at, stop - at);
-        const auto data = event.find(Mark);
+        const auto data = event.find(DataPrefix);
         if (data != std::string::npos) {
-            found.push_back(event.substr(data + Mark.size()));
+            found.push_back(event.substr(data + DataPrefix.size()));
         }
         at = stop + 2;
     }
--- a/tests/unit_accounts.cpp
+++ b/tests/unit_accounts.cpp
@@ -60,7 +60,7 @@
 {
     // Guards against a malformed header that is accepted as a key or crashes a gateway.
     const MutatorOptions mutations {
-        .mostEdits = 4, .longestPiece = 6, .nasty = {"Bearer", " ", "\t", std::string(1, '\0'), ",", "\xff"}, .replacesValues = false};
+        .maxEdits = 4, .maxPieceLength = 6, .dictionary = {"Bearer", " ", "\t", std::string(1, '\0'), ",", "\xff"}, .replacesValues = false};
     for (std::uint32_t round = 0; round < 20000; ++round) {
         const auto text = Mutator(round, mutations).mutate("Bearer asnmgkcuyj8pjbvk9m68");
         const auto key = bearerKey(text);
--- a/tests/unit_callerserver.cpp
+++ b/tests/unit_callerserver.cpp
@@ -49,10 +49,10 @@
     const auto answer = fixture.call("GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
                                      "POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"
                                      "GET /c HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-    CHECK(countOf(answer.text, "HTTP/1.1 200 OK") == 3);
+    CHECK(countOccurrences(answer.text, "HTTP/1.1 200 OK") == 3);
     CHECK(answer.text.find("POST /b hi") != std::string::npos);
     CHECK(answer.text.find("GET /c ") > answer.text.find("POST /b hi"));
-    CHECK(countOf(answer.text, "Connection: close") == 1);
+    CHECK(countOccurrences(answer.text, "Connection: close") == 1);
     CHECK(answer.isClosed);
 }
 
@@ -123,7 +123,7 @@
     ServerFixture fixture;
     fixture.server.setLeaving();
     const auto answer = fixture.call("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-    CHECK(countOf(answer.text, "Connection: close") == 1);
+    CHECK(countOccurrences(answer.text, "Connection: close") == 1);
     CHECK(answer.isClosed);
     auto idle = rawCall(fixture.server.port(), "", RawAfter::Read);
     fixture.loop.runUntil([&] { return fixture.server.connections() == 1; }, TestTimeout);
--- a/tests/unit_httplimits.cpp
+++ b/tests/unit_httplimits.cpp
@@ -106,7 +106,7 @@
 {
     Server server;
     const auto answer = server.send("GET /a HTTP/1.1\r\nhost: x\r\n\r\nGET /b HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-    REQUIRE(countOf(answer.text, "200 OK") == 2);
+    REQUIRE(countOccurrences(answer.text, "200 OK") == 2);
 }
 
 TEST_CASE("bytes after a body don't block the process")
