--- a/tests/harness_cluster.cpp
+++ b/tests/harness_cluster.cpp
@@ -37,7 +37,7 @@
 )";
 constexpr auto Zones = std::array {"austin-hall-a", "austin-hall-b", "round-rock", "san-marcos"};
 
-/// Whether an assertion has failed since the last cluster went; CHECK doesn't unwind, so nobody else would tell.
+/// Whether an assertion has failed since the last cluster was destroyed. A failed CHECK throws nothing, so std::uncaught_exceptions() doesn't show it.
 bool hasFailed = false;
 
 struct FailureListener : Catch::TestEventListenerBase {
@@ -61,7 +61,7 @@
     return "127.0.0.1:" + std::to_string(port);
 }
 
-/// Members of one kind: "runner-1", "runner-2", ...
+/// The ids of the processes of one kind: "runner-1", "runner-2", ...
 auto numberedIds(const std::string &prefix, int count) -> std::vector<std::string>
 {
     std::vector<std::string> names;
@@ -147,7 +147,7 @@
     Json fakesPorts;
     std::map<std::string, std::unique_ptr<ChildProcess>> processes;
     std::map<std::string, std::vector<std::string>> commands;
-    std::map<std::string, int> peerPorts; // ports
+    std::map<std::string, int> peerPorts;
     std::map<std::string, int> proxiedPeerPorts;
     std::vector<int> callerPorts;
     std::vector<int> operatorPorts;
@@ -174,7 +174,7 @@
 
 auto Cluster::Private::startFakes() -> void
 {
-    // Engines come back on the same port after a crash: it must not lie where the system takes ports for outgoing connections.
+    // After a crash an engine listens on the same port again, so its port must lie outside the range that Linux uses for outgoing connections.
     constexpr int FakesPorts = 120;
     std::vector<std::string> arguments {programPath("kingcup-fakes"),
                                         "--base-port=" + std::to_string(freePorts(FakesPorts)),
@@ -186,7 +186,7 @@
                                         "--weights.loads-per-second=10",
                                         "--weights.parallel=10",
                                         "--hosts.lag-ms=300"};
-    // An option that a test gives takes the place of the one here: Program_options refuses two.
+    // A test's option replaces the default of the same name, because Boost.Program_options refuses an option that is given twice.
     for (const auto &more : options.fakes) {
         const auto name = more.substr(0, more.find('='));
         std::erase_if(arguments, [&](const std::string &known) { return known.compare(0, name.size() + 1, name + "=") == 0; });
@@ -211,7 +211,7 @@
     processes[id] = std::make_unique<ChildProcess>(commands.at(id), folder.path() + "/" + id + ".log");
 }
 
-/// The port of the engine or plain service behind an agent.
+/// The port of the engine or plain service that an agent serves.
 auto Cluster::Private::targetPort(const std::string &agent) const -> int
 {
     for (const auto *group : {"engines", "services"}) {
@@ -221,7 +221,7 @@
             }
         }
     }
-    throw std::runtime_error("no target for " + agent);
+    throw std::runtime_error("the fakes have no engine or service for " + agent);
 }
 
 auto Cluster::Private::addProxyLink(Cluster &cluster, const std::string &name, int target) -> int
@@ -306,14 +306,14 @@
 
 Cluster::~Cluster() = default;
 
-/// Also runs when a test fails while the cluster is being started.
+/// Also runs when the test fails in the constructor of Cluster, whose own destructor isn't called then.
 Cluster::Private::~Private()
 {
     if (hasFailed || std::uncaught_exceptions() > 0) {
         printLogTails();
         hasFailed = false;
     }
-    // The stand-ins go last, so that nobody logs their absence.
+    // The fakes are ended last, so that the other processes don't log errors about lost connections to them.
     std::erase_if(processes, [](const auto &known) { return known.first != "fakes"; });
 }
 
@@ -583,7 +583,7 @@
 auto checkInvariants(Cluster &cluster) -> void
 {
     const auto totals = cluster.truth()["totals"];
-    INFO("ground truth: " << totals.dump());
+    INFO("counts of the fakes: " << totals.dump());
     REQUIRE(totals["overcommits"] == 0);
     REQUIRE(totals["doubled"].empty());
 }
--- a/tests/harness_process.cpp
+++ b/tests/harness_process.cpp
@@ -27,7 +27,7 @@
 
 constexpr int SignalExitCodeBase = 128;
 constexpr int FileMode = 0644;
-// Below the range that Linux takes outgoing ports from. Each test process holds one slot of it, so that tests may run side by side.
+// The ports lie below the range that Linux uses for outgoing connections. Each test process reserves one slot of them, so that tests can run in parallel.
 constexpr int FirstPort = 10000;
 constexpr int PortsPerSlot = 500;
 constexpr int Slots = 40;
@@ -47,7 +47,7 @@
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     const int on = 1;
-    ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on); // connections that ended lately don't count
+    ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on); // allows ports with connections in TIME_WAIT
     sockaddr_in address {};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -57,7 +57,7 @@
     return ok;
 }
 
-/// The first port of this process's slot. The lock on the slot's file goes with the process, however it ends.
+/// Reserves a slot of ports by locking its file, and returns the slot's first port. The kernel releases the lock when the process ends in any way.
 auto claimPortSlot() -> int
 {
     for (int tries = 0; tries < Slots; ++tries) {
@@ -69,7 +69,7 @@
         }
         ::close(descriptor);
     }
-    throw std::runtime_error("too many test processes at once");
+    throw std::runtime_error("all port slots are in use by other test processes");
 }
 
 } // namespace
@@ -90,14 +90,14 @@
     const int error = posix_spawn(&m_pid, arguments.front().c_str(), &actions, nullptr, argumentPointers.data(), variablePointers.data());
     posix_spawn_file_actions_destroy(&actions);
     if (error != 0) {
-        throw std::runtime_error("cannot start " + arguments.front());
+        throw std::runtime_error("can't start " + arguments.front());
     }
 }
 
 ChildProcess::~ChildProcess()
 {
     if (!exitCode()) {
-        ::kill(m_pid, SIGKILL); // also ends a stopped process
+        ::kill(m_pid, SIGKILL); // also ends a process that SIGSTOP has stopped
         ::waitpid(m_pid, nullptr, 0);
     }
 }
@@ -158,14 +158,14 @@
             return FirstOfSlot + next - count + 1;
         }
     }
-    throw std::runtime_error("no free port");
+    throw std::runtime_error("no free ports left in the slot of this process");
 }
 
 TemporaryFolder::TemporaryFolder()
 {
     std::string name = (std::filesystem::temp_directory_path() / "kingcup-test-XXXXXX").string();
     if (::mkdtemp(name.data()) == nullptr) {
-        throw std::runtime_error("cannot make a temporary folder");
+        throw std::runtime_error("can't create a temporary folder");
     }
     m_path = name;
 }
--- a/tests/harness_process.h
+++ b/tests/harness_process.h
@@ -1,4 +1,4 @@
-// Real processes for the system tests: started by path, signalled and ended by process id, their output kept in a file.
+// Child processes, ports and temporary folders for the system tests.
 #pragma once
 
 #include "core/units.h"
@@ -11,7 +11,7 @@
 namespace KingCup
 {
 
-/// Ends its process when it goes, whatever became of the test.
+/// A child process whose output is kept in a file. The destructor kills it if it still runs.
 class ChildProcess
 {
 public:
@@ -22,10 +22,10 @@
     auto operator=(const ChildProcess &) -> ChildProcess & = delete;
 
     auto pid() const -> pid_t;
-    auto log() const -> std::string;
+    auto log() const -> std::string; ///< all output so far
     auto logTail(std::size_t lines) const -> std::string;
     auto send(int signal) const -> void;
-    /// The exit code once the process has ended (128 + signal if a signal ended it).
+    /// The exit code, or 128 + signal if a signal ended the process; empty while it runs.
     auto exitCode() -> std::optional<int>;
 
 private:
@@ -34,12 +34,12 @@
     std::optional<int> m_exit;
 };
 
-/// A port of 127.0.0.1 that nobody listens on, outside the range that outgoing connections use, and that no other test process is given.
+/// A free port of 127.0.0.1, outside the range that Linux uses for outgoing connections. No other test process gets the same one.
 auto freePort() -> int;
-/// The first of `count` such ports in a row.
+/// The first of `count` consecutive ports of the kind that freePort() returns.
 auto freePorts(int count) -> int;
 
-/// A fresh folder, removed with all in it.
+/// A new, empty folder. The destructor removes it with its content.
 class TemporaryFolder
 {
 public:
--- a/tests/harness_random.cpp
+++ b/tests/harness_random.cpp
@@ -132,7 +132,7 @@
         key = m_debits[m_debits.size() - 1 - static_cast<std::size_t>(randomBetween(0, static_cast<int>(recent) - 1))].key;
         ++m_counts.resends;
     }
-    // A key stands for one request: every send of it must read the same.
+    // An idempotency key identifies one request, so every send with the same key must have the same content.
     const bool isSlow = std::hash<std::string>()(key) % 4 == 0;
     m_debits.push_back({m_cluster.beginDebit(entry, key, "asha", 1, isSlow ? "?wait-ms=150&hold-ms=300" : ""), key});
     ++m_counts.debits;
@@ -230,7 +230,7 @@
     }
 }
 
-/// Looks at calls that have ended since: what they say must be true at once.
+/// Checks the calls that have ended since the last time: the outcome that each reports must agree with the counts of the fakes.
 auto RandomRun::checkEndedCalls() -> void
 {
     for (auto &completion : m_completions) {
@@ -264,7 +264,7 @@
     }
 }
 
-/// A key all of whose sends were told "not run" never ran; and the balance is what ran.
+/// Checks that a key never ran if all of its sends were answered "not-run", and that the balance equals the number of keys that ran.
 auto RandomRun::checkDebits() -> void
 {
     const auto truth = m_cluster.truth()["services"]["ledger"];
@@ -306,7 +306,7 @@
     }
 }
 
-/// With everything healthy, a planned stop of every process cuts nothing off.
+/// Checks that every process exits with code 0 on SIGTERM: with everything healthy, a planned stop cuts off no request.
 auto RandomRun::checkPlannedStops() -> void
 {
     for (const auto *prefix : {"entry-", "runner-", "ledger-"}) {
--- a/tests/harness_random.h
+++ b/tests/harness_random.h
@@ -1,7 +1,8 @@
-// A randomized run: the seed chooses the shape of the system, the workload and the faults; the promises are checked throughout and at the end.
+// A randomized test run. The seed determines the configuration of the system, the workload and the faults. The system's guarantees are checked
+// during the run and at its end.
 //
-// The same seed gives the same schedule. What each process does with it depends on timing, so a verdict rests on safety and on conditions that
-// are waited for, never on how long something took.
+// The same seed gives the same schedule, but how the processes react to it depends on timing. The checks therefore cover only safety properties and
+// conditions that are waited for, never how long something took.
 #pragma once
 
 #include "tests/harness_cluster.h"
@@ -15,11 +16,11 @@
 namespace KingCup
 {
 
-/// What a run did, to be added up over seeds.
+/// Counts of one run, which can be added up over several seeds.
 struct RandomRunCounts {
     int completions = 0;
     int completionsDelivered = 0;
-    int debits = 0; ///< sends, the repeated ones included
+    int debits = 0; ///< debits sent, including resends
     int resends = 0;
     int debitsDelivered = 0;
     int debitsNotRun = 0;
@@ -35,7 +36,7 @@
 public:
     explicit RandomRun(std::uint64_t seed);
 
-    /// Brings a system up, works and breaks it for `span`, heals it, and checks every promise. Fails the test on a violation.
+    /// Starts a system, sends requests and injects faults for `span`, ends the faults and checks all guarantees. Fails the test on a violation.
     auto run(Duration span) -> RandomRunCounts;
 
 private:
--- a/tests/mutator.h
+++ b/tests/mutator.h
@@ -1,4 +1,4 @@
-// Garbles text for fuzz tests: cuts, doubles, swaps and replaces bytes, also with those that parsers trip over. The same for the same seed.
+// Mutates text for fuzz tests: deletes, duplicates and overwrites bytes, and adds entries of a dictionary. The same seed gives the same mutations.
 #pragma once
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 {
 
 struct MutatorOptions {
-    std::size_t maxEdits = 8; ///< of one text; at least one is made
-    std::size_t maxPieceLength = 40; ///< bytes that are cut or doubled at once
-    std::vector<std::string> dictionary; ///< what parsers trip over
-    bool replacesValues = false; ///< nasty text takes the place of a JSON field's value, so that it is likely to be read; else it is inserted
+    std::size_t maxEdits = 8; ///< per call of mutate(); at least one is made
+    std::size_t maxPieceLength = 40; ///< bytes that one edit deletes or duplicates
+    std::vector<std::string> dictionary; ///< inputs that parsers often handle wrongly
+    bool replacesValues = false; ///< a dictionary entry replaces the value of a JSON field, so that the parser is likely to reach it; otherwise it is inserted
 };
 
 class Mutator
@@ -73,7 +73,7 @@
         }
     }
 
-    const MutatorOptions &m_options; ///< outlives the mutator
+    const MutatorOptions &m_options; ///< must outlive the mutator
     std::mt19937 m_random;
 };
 
--- a/tests/system_answers.cpp
+++ b/tests/system_answers.cpp
@@ -1,4 +1,4 @@
-// Each caller gets the whole answer to its own request, or is told that it isn't whole.
+// Each caller gets the complete answer to its own request, or is told that the answer is incomplete.
 #include "tests/harness_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Never a wrong or doubled token; and an answer that claims to be whole is whole.
+/// Checks that an answer has no wrong or repeated token, and that it is complete if its outcome is "delivered".
 auto checkAnswer(const CallPtr &call, const std::string &artifact, const std::string &prompt, int tokens) -> void
 {
     const auto expected = expectedText(artifact, prompt, tokens);
@@ -52,12 +52,12 @@
 
 } // namespace
 
-TEST_CASE("streams whose engine or agent dies are resumed in place, or marked as cut")
+TEST_CASE("streams whose engine, agent or link fails are resumed at the next token, or marked as incomplete")
 {
-    // The target dies in the middle of an answer. Continued from the wrong token, or ended as if it were whole, the caller would read a wrong or a half
-    // answer as the right one.
+    // The target fails in the middle of an answer. If the stream were resumed at the wrong token, or ended as if it were complete, the caller would take
+    // a wrong or truncated answer for the right one.
     const std::string fault = GENERATE(as<std::string> {}, "engine", "agent", "link to the agent", "link to the engine");
-    INFO("what fails: " << fault);
+    INFO("failing part: " << fault);
     Cluster cluster({.proxiesTargets = fault == "link to the engine"});
     cluster.bringUp();
     const auto pending = beginCompletions(cluster, 16, 100);
@@ -75,7 +75,7 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("answers that come late, slowly or through a link that stalls are matched to their request")
+TEST_CASE("answers over a slow, delayed or stalled link are matched to their requests")
 {
     const std::string mode = GENERATE(as<std::string> {}, "delay", "drip", "freeze");
     INFO("links to the agents: " << mode);
--- a/tests/system_config.cpp
+++ b/tests/system_config.cpp
@@ -1,4 +1,4 @@
-// Configuration in a whole system: what is refused, who wins a race, and what goes on without the platform's table.
+// Configuration changes in a complete system: invalid changes, concurrent changes, and operation without the platform's table.
 #include "tests/harness_cluster.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 
 const ClusterOptions Small {.entries = 2, .runners = 2, .ledgers = 1};
 
-/// The revision in force in an entry, from its metrics.
+/// The configuration revision that is in force at an entry, from its metrics; 0 if the metrics don't show one.
 auto revisionOf(Cluster &cluster, int entry) -> int
 {
     const auto answer = cluster.call(entry, {.path = "/metrics"});
@@ -32,7 +32,7 @@
     cluster.waitFor("revision " + std::to_string(revision) + " in entry " + std::to_string(entry), [&] { return revisionOf(cluster, entry) >= revision; });
 }
 
-/// The declarations with another policy: a new revision that changes nothing else.
+/// The declarations with another move cost, so that applying them makes a new revision.
 auto withMoveCost(const Cluster &cluster, int cost) -> std::string
 {
     return cluster.declarations() + "move-cost = " + std::to_string(cost) + "\n";
@@ -43,7 +43,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// One of several runs of kingcupctl at the same time.
+/// Starts kingcupctl at one entry and doesn't wait for it, so that several can run at the same time.
 auto startApply(const Cluster &cluster, int entry, const std::string &folder, const TemporaryFolder &logs) -> std::unique_ptr<ChildProcess>
 {
     const char *programFolder = std::getenv("KINGCUP_BIN");
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("a file with five mistakes is refused with five findings, and nothing changes")
+TEST_CASE("a file with five mistakes is refused with five findings and changes nothing")
 {
     Cluster cluster(Small);
     cluster.bringUp();
@@ -82,10 +82,10 @@
     CHECK(revisionOf(cluster, 1) == 1);
 }
 
-TEST_CASE("a change made against an older revision is refused, with the revision that came first")
+TEST_CASE("a change against an older revision is refused, and the answer names the newer revision")
 {
-    // An operator reviews a change for an hour; meanwhile a colleague's change is accepted. Applied all the same, the first one's set
-    // would undo the colleague's without anyone having decided so.
+    // While an operator reviews a change, another operator's change is accepted. If the first change were applied all the same, it would silently
+    // undo the second operator's change.
     Cluster cluster(Small);
     cluster.bringUp();
     const auto folder = cluster.writeDeclarations(withMoveCost(cluster, 7));
@@ -98,7 +98,7 @@
     CHECK(revisionOf(cluster, 1) == 2);
 }
 
-TEST_CASE("of two operators at two entries one wins and the other is told")
+TEST_CASE("of two concurrent changes at two entries one is accepted and the other gets a conflict")
 {
     Cluster cluster(Small);
     cluster.bringUp();
@@ -119,10 +119,10 @@
     waitForRevision(cluster, 2, 2);
 }
 
-TEST_CASE("a change whose answer the store loses is accepted once")
+TEST_CASE("a change whose write is committed but not answered is accepted once")
 {
-    // The table commits, and the connection is cut before its answer is out. The operator must not be told that nothing happened, and
-    // asking again must not make a second revision.
+    // The table commits the write, and the connection breaks before the answer is sent. The operator must not be told that nothing has changed, and
+    // applying the change again must not make a second revision.
     Cluster cluster(Small);
     cluster.bringUp();
     const auto folder = cluster.writeDeclarations(withMoveCost(cluster, 7));
@@ -135,10 +135,9 @@
     CHECK(contains(cluster.ctlOutput(), "unchanged, revision 2"));
 }
 
-TEST_CASE("a call with a field that the entry doesn't know is refused, and nothing changes")
+TEST_CASE("a call with a field that the entry doesn't know is refused and changes nothing")
 {
-    // The operator's tool is newer than the entry. Accepted without the part that the entry doesn't know, the change would be in force
-    // in another form than the operator wrote it.
+    // The operator's tool is newer than the entry. If the entry ignored the unknown field, another change than the operator's would come into force.
     Cluster cluster(Small);
     cluster.bringUp();
     const auto server = "127.0.0.1:" + std::to_string(cluster.operatorsPort(1));
@@ -156,10 +155,10 @@
     CHECK(revisionOf(cluster, 1) == 1);
 }
 
-TEST_CASE("an entry that restarts while the table is down serves the newest configuration")
+TEST_CASE("an entry that restarts while the table is down serves with the newest configuration")
 {
-    // The platform's table goes down, and in the outage an entry is replaced. It finds nothing to read. Without the configuration of its
-    // peers it would refuse every caller until the platform is back, and an operator would see an entry without services.
+    // An entry is replaced while the platform's table is down, so it can't read the configuration there. If it didn't get it from its peers, it would
+    // refuse every caller until the table is back, and show operators no services.
     Cluster cluster(Small);
     cluster.bringUp();
     REQUIRE(cluster.ctl({"apply", cluster.writeDeclarations(withMoveCost(cluster, 7)), "--wait"}) == 0);
--- a/tests/system_crasher.cpp
+++ b/tests/system_crasher.cpp
@@ -1,14 +1,14 @@
-// A request that crashes whatever runs it costs at most two targets, however often its caller sends it.
+// A request that crashes each engine it runs on crashes at most two, however often its caller sends it.
 #include "tests/harness_cluster.h"
 
 #include <catch2/catch.hpp>
 
 using namespace KingCup;
 
-TEST_CASE("a request that crashes its engine takes at most two with it, and others are still answered")
+TEST_CASE("a request that crashes its engine crashes at most two engines, and other requests are still answered")
 {
-    // A malformed prompt trips a fault of the engine. Its caller sees an error and sends it again, through either entry; retried without end it would take
-    // down one accelerator after another, and with each the answers of everyone else on it.
+    // A prompt triggers a fault of the engine, and its caller resends it through either entry after each error. If it were run each time, it would crash
+    // one engine after another, and break off all other answers there.
     Cluster cluster({.entries = 2, .runners = 4, .ledgers = 0});
     cluster.bringUp();
     for (int i = 0; i < 8; ++i) {
--- a/tests/system_fakes.cpp
+++ b/tests/system_fakes.cpp
@@ -1,4 +1,4 @@
-// The stand-ins and the proxy themselves: a ground truth that lies would make every other system test worthless.
+// Tests the fakes and their fault proxy. The other system tests compare the system with the counts of the fakes, so these must be right.
 #include "tests/harness_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// The stand-ins alone.
+/// Runs only the fakes, with one engine and one ledger, without entries and agents.
 struct FakesFixture {
     Cluster cluster;
     HttpClient client {cluster.loop()};
@@ -55,9 +55,9 @@
 
 } // namespace
 
-TEST_CASE("an engine that is given more than it has room for counts it and crashes")
+TEST_CASE("an engine that is ordered to load more than its memory holds counts an overcommit and crashes")
 {
-    // A load is ordered that doesn't fit beside what is there. On a real accelerator the engine dies, and every request on it.
+    // A load is ordered that doesn't fit into the free memory. A real engine then runs out of accelerator memory and crashes with all of its requests.
     FakesFixture fixture;
     REQUIRE(fixture.order("sun@1", 40).status == 202);
     REQUIRE(fixture.cluster.truth()["totals"]["overcommits"] == 0);
@@ -74,7 +74,7 @@
     REQUIRE(back["memoryUsed"] == 0);
 }
 
-TEST_CASE("the ledger stand-in counts each execution of a key")
+TEST_CASE("the fake ledger counts each execution of a key")
 {
     FakesFixture fixture;
     REQUIRE(fixture.debit(fixture.servicePort(), "once").status == 201);
@@ -85,9 +85,9 @@
     REQUIRE(fixture.cluster.truth()["totals"]["doubled"] == Json::array({"ledger:twice"}));
 }
 
-TEST_CASE("a table write whose answer is dropped has taken effect")
+TEST_CASE("a table write whose answer is dropped takes effect")
 {
-    // The write is committed and the connection dies before the answer: the writer can't tell it from a write that never arrived.
+    // The write is committed, and the connection breaks before the answer is sent. The writer can't distinguish this from a write that never arrived.
     FakesFixture fixture;
     const int table = fixture.ports["table"];
     fixture.cluster.fault({{"part", "table"}, {"mode", "drop-answer"}, {"count", 1}});
@@ -97,7 +97,7 @@
     REQUIRE(fixture.cluster.admin("GET", "/rows?prefix=k")["rows"].size() == 1);
 }
 
-TEST_CASE("each fault of a proxied link does what it says, and healing ends it")
+TEST_CASE("each fault of a proxied link has its documented effect, and healing ends it")
 {
     FakesFixture fixture;
     const int port = fixture.cluster.admin("POST", "/links", {{"name", "l"}, {"target", "127.0.0.1:" + std::to_string(fixture.servicePort())}})["port"];
@@ -127,9 +127,9 @@
     REQUIRE(fixture.debit(port, "healed").status == 201);
 }
 
-TEST_CASE("a connection that has lost bytes carries none of the later ones")
+TEST_CASE("a connection that has lost bytes delivers none of the later bytes")
 {
-    // A byte stream has no holes. A link that swallowed some events of a stream and passed the next ones on made whole answers look torn.
+    // A TCP stream never has gaps. A proxy that dropped some events of a stream and forwarded the later ones made correct answers look corrupt.
     FakesFixture fixture;
     const int port = fixture.cluster.admin("POST", "/links", {{"name", "l"}, {"target", "127.0.0.1:" + std::to_string(fixture.enginePort())}})["port"];
     const auto setMode = [&](const std::string &mode) {
--- a/tests/system_leaving.cpp
+++ b/tests/system_leaving.cpp
@@ -1,4 +1,4 @@
-// A target that is leaving gets no new work after a few seconds, and finishes what it has.
+// A target that is leaving gets no new work after a few seconds, and finishes its running requests.
 #include "tests/harness_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -8,14 +8,14 @@
 namespace
 {
 
-constexpr auto NewWorkLimit = Duration::seconds(4);
+constexpr auto NewWorkLimit = Duration::seconds(4); ///< time within which a leaving target may still get new work
 
 auto oneModel() -> ClusterOptions
 {
     return {.entries = 2, .runners = 2, .ledgers = 2, .models = "[model sun]\nservice = advisory\ncurrent = 1\n[version sun@1]\nsize-gb = 6\n"};
 }
 
-/// Calls that go on coming, to both entries.
+/// Sends completions and lookups to both entries all through `span`.
 auto sendCalls(Cluster &cluster, Duration span) -> std::vector<CallPtr>
 {
     std::vector<CallPtr> calls;
@@ -45,9 +45,9 @@
 
 } // namespace
 
-TEST_CASE("a target that is told to leave gets no new work after the bound, and cuts nothing off")
+TEST_CASE("a target that is told to leave gets no new work after the limit, and cuts off no request")
 {
-    // An operator drains it, or its host is marked as leaving and will be switched off: a request that still gets there may be lost with it.
+    // An operator drains the target, or its host is marked as leaving and will be switched off. A request that is sent to it later may be lost with it.
     const std::string way = GENERATE(as<std::string> {}, "drain", "host list");
     const std::string id = GENERATE(as<std::string> {}, "runner-1", "ledger-1");
     INFO("leaving by " << way << ": " << id);
@@ -71,9 +71,9 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("the last target of a service that gets SIGTERM refuses new work as not run")
+TEST_CASE("the last target of a service refuses new work as not run after SIGTERM")
 {
-    // Everything that could answer is leaving. Callers are told so at once and truly; they aren't left waiting, nor told that it may have run.
+    // The only target of the service is leaving. Callers must get "not-run" within their time budget, not an unknown outcome.
     Cluster cluster({.entries = 1, .runners = 0, .ledgers = 1, .models = "# none\n"});
     cluster.bringUp();
     const auto running = cluster.beginDebit(1, "last-1", "asha", 1, "?hold-ms=1500");
--- a/tests/system_memory.cpp
+++ b/tests/system_memory.cpp
@@ -1,4 +1,4 @@
-// Accelerator memory is never overcommitted, whatever becomes of orders, agents and engines.
+// Accelerator memory is never overcommitted when orders, agents or engines fail.
 #include "tests/harness_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// More than fits everywhere, so that every plan is tight: 4 runners of 40 GB (34 for weights), 6 models of 10 and 14 GB on a floor of two zones where they
-/// fit.
+/// Memory is scarce in every plan: 4 runners of 40 GB (34 for weights) can't hold 6 models of 10 and 14 GB in two zones each, which the floor asks for as
+/// far as they fit.
 auto tightOptions(const std::string &fencing) -> ClusterOptions
 {
     ClusterOptions options {.entries = 2, .runners = 4, .ledgers = 0, .fencing = fencing};
@@ -23,7 +23,7 @@
     return options;
 }
 
-/// Demand that moves from model to model, so that copies are loaded and unloaded all the time.
+/// Sends requests to one model after another, so that replicas are loaded and unloaded all the time.
 auto shiftDemand(Cluster &cluster, Duration span) -> void
 {
     const auto until = cluster.loop().now() + span;
@@ -42,10 +42,10 @@
 
 } // namespace
 
-TEST_CASE("orders that are lost or late, and whose answers are lost, never overcommit an engine")
+TEST_CASE("lost orders, late orders and lost answers to orders never overcommit an engine")
 {
-    // An order is sent, nothing comes back, and memory is given away again on the guess that it had no effect; then the order arrives after all. On a
-    // real accelerator the engine dies of it, with every request it was answering.
+    // An order isn't answered. If its memory were assigned anew on the assumption that the order had no effect, and the order then arrived late, a real
+    // engine would run out of accelerator memory and crash with all of its requests.
     const std::string fencing = GENERATE(as<std::string> {}, "checked", "ignored");
     INFO("fencing numbers are " << fencing);
     Cluster cluster(tightOptions(fencing));
@@ -61,9 +61,9 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("agents that die and come back amid late orders never overcommit an engine")
+TEST_CASE("agents that are killed and restarted while orders are late never overcommit an engine")
 {
-    // The agent is killed right after it has sent an order. Its successor knows nothing of the order, which may still be on its way.
+    // An agent is killed right after it has sent an order. The restarted agent doesn't know of the order, which may still be in flight.
     const std::string fencing = GENERATE(as<std::string> {}, "checked", "ignored");
     INFO("fencing numbers are " << fencing);
     Cluster cluster(tightOptions(fencing));
@@ -81,10 +81,10 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("an engine that crashes and comes back empty is filled again without overcommitting it")
+TEST_CASE("an engine that crashes and restarts empty is loaded again without overcommitting it")
 {
-    // The agent believes its models resident, and orders that were under way are gone. To count on either would leave callers without a model, or
-    // charge memory twice.
+    // The crash removes the resident models and the pending orders. If the agent went on counting on either of them, callers would be left without a model,
+    // or memory would be charged twice.
     Cluster cluster(tightOptions("alternate"));
     cluster.bringUp();
     for (int i = 0; i < 4; ++i) {
--- a/tests/system_path.cpp
+++ b/tests/system_path.cpp
@@ -1,4 +1,4 @@
-// The whole path: caller, entry, agent, target and back, and planned stops.
+// The complete path of a request (caller, entry, agent, target and back), invalid input and planned stops.
 #include "tests/harness_cluster.h"
 
 #include <arpa/inet.h>
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Sends bytes to a port and hangs up.
+/// Connects to a port, sends `bytes` and closes the connection.
 auto sendGarbage(int port, const std::string &bytes) -> void
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("requests of every kind come back whole, with their outcome")
+TEST_CASE("requests of every kind are answered completely, with their outcome")
 {
     Cluster cluster;
     cluster.bringUp();
@@ -54,9 +54,9 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("bad input gets a clear error, is not run and harms nothing")
+TEST_CASE("invalid input gets an error, is not run and disturbs no other request")
 {
-    // A caller's tool is misconfigured or broken. It must be told what is wrong, and no other caller may notice.
+    // A client is misconfigured or broken. It must be told what is wrong, and other callers must not be affected.
     Cluster cluster({.entries = 1, .runners = 1, .ledgers = 1, .models = "[model sun]\nservice = advisory\ncurrent = 1\n[version sun@1]\nsize-gb = 6\n"});
     cluster.bringUp();
     struct BadCall {
@@ -90,9 +90,9 @@
     CHECK_FALSE(cluster.process("entry-1").exitCode().has_value());
 }
 
-TEST_CASE("a planned stop of any process cuts nothing off")
+TEST_CASE("a planned stop of any process cuts off no request")
 {
-    // Hosts are replaced every day. The process gets SIGTERM while streams and debits are running on it; each of them must come whole.
+    // A process gets SIGTERM because its host is replaced, while streams and debits run on it. Each of them must be answered completely.
     const std::string leaving = GENERATE(as<std::string> {}, "entry-1", "runner-1", "ledger-1");
     INFO("stopped: " << leaving);
     Cluster cluster;
@@ -107,11 +107,11 @@
     for (int i = 0; i < 8; ++i) {
         debits.push_back(cluster.beginDebit(1, "stop-" + std::to_string(i), "asha", 1, "?hold-ms=1000"));
     }
-    cluster.waitFor("everything is under way",
+    cluster.waitFor("every stream has begun",
                     [&] { return std::all_of(streams.begin(), streams.end(), [](const auto &stream) { return !stream->body.empty(); }); });
     cluster.terminate(leaving);
     CHECK(cluster.waitForExit(leaving) == 0);
-    cluster.waitFor("every answer has come", [&] {
+    cluster.waitFor("every call ends", [&] {
         const auto isDone = [](const auto &record) {
             return record->done;
         };
--- a/tests/system_pauses.cpp
+++ b/tests/system_pauses.cpp
@@ -1,4 +1,4 @@
-// Processes that freeze and wake up believing that nothing has happened, and what goes on with the table down.
+// Processes that are paused and resume with an outdated state, and drains while the table is down.
 #include "tests/harness_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr auto NewWorkLimit = Duration::seconds(4);
+constexpr auto NewWorkLimit = Duration::seconds(4); ///< time within which a drained target may still get new work
 constexpr auto Pause = Duration::seconds(2);
 
-/// 4 runners of 40 GB (34 for weights) and 6 models of 10 and 14 GB: every plan is tight.
+/// Memory is scarce in every plan: 4 runners of 40 GB (34 for weights), 6 models of 10 and 14 GB.
 auto tightOptions(const std::string &fencing) -> ClusterOptions
 {
     ClusterOptions options {.entries = 2, .runners = 4, .ledgers = 0, .fencing = fencing};
@@ -30,7 +30,7 @@
     return cluster.truth()["instances"][id]["lastNewWorkMs"];
 }
 
-/// Lookups to both entries for a while; all answers are awaited.
+/// Sends lookups to both entries all through `span`, and waits until all have ended.
 auto runLookups(Cluster &cluster, Duration span) -> std::vector<CallPtr>
 {
     std::vector<CallPtr> calls;
@@ -47,10 +47,10 @@
 
 } // namespace
 
-TEST_CASE("an agent that freezes amid late orders and wakes never overcommits its engine")
+TEST_CASE("an agent that is paused and resumed while orders are late never overcommits its engine")
 {
-    // An agent sends an order and is frozen. While it sleeps the order takes effect, or the engine crashes and comes back empty. It wakes with
-    // answers that are seconds old waiting for it. Were they taken for the present, it would load on top of what is there.
+    // An agent sends an order and is paused. Meanwhile the order takes effect, or the engine crashes and restarts empty. The resumed agent then reads
+    // answers that are seconds old. If it took them for the current state, it would load a model into memory that is in use.
     const std::string fencing = GENERATE(as<std::string> {}, "checked", "ignored");
     INFO("fencing numbers are " << fencing);
     Cluster cluster(tightOptions(fencing));
@@ -72,9 +72,9 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("a target that is drained while the table is down gets no new work after the bound")
+TEST_CASE("a target that is drained while the table is down gets no new work after the limit")
 {
-    // The platform's table is out, and a host must leave nevertheless. Were leaving a row, the target would go on getting work.
+    // A host must leave although the platform's table is down. If the table stored which targets are leaving, the target would go on getting work.
     Cluster cluster({.entries = 2, .runners = 0, .ledgers = 2, .models = "# none\n"});
     cluster.bringUp();
     cluster.fault({{"part", "table"}, {"mode", "refuse"}});
@@ -87,10 +87,10 @@
     CHECK(lastNewWorkMillis(cluster, "ledger-2") - announcedAt > NewWorkLimit.inMillis());
 }
 
-TEST_CASE("an entry that was frozen while a target left doesn't get work to it")
+TEST_CASE("an entry that was paused while a target was drained sends it no new work")
 {
-    // An entry freezes, the target is drained, and the entry wakes with requests in its sockets, believing that the target takes them. Work
-    // that it sends there may be lost with the target; its callers are to be answered from elsewhere.
+    // A target is drained while an entry is paused. The resumed entry finds requests in its sockets, and its outdated state says that the target accepts
+    // work. Requests that it sent there might be lost with the target, so another target must answer them.
     Cluster cluster({.entries = 2, .runners = 0, .ledgers = 2, .models = "# none\n"});
     cluster.bringUp();
     cluster.stop("entry-2");
--- a/tests/system_random.cpp
+++ b/tests/system_random.cpp
@@ -1,4 +1,4 @@
-// Randomized runs. KINGCUP_SEEDS ("1-200" or "7") chooses others than the fixed set; tools/soak uses it.
+// Randomized runs. The environment variable KINGCUP_SEEDS ("1-200" or "7") replaces the default seeds; tools/soak sets it.
 #include "tests/harness_random.h"
 
 #include <catch2/catch.hpp>
@@ -32,14 +32,14 @@
 
 } // namespace
 
-TEST_CASE("whatever fails, whenever, every promise holds")
+TEST_CASE("all guarantees hold under random faults")
 {
-    // Processes are killed and paused, the table and the host list fail, orders and answers are lost or late, links stall: several at once, as on a bad
-    // day. A patron charged twice, a wrong answer or a crashed accelerator here is one in the field.
+    // Injects several faults at once: processes are killed and paused, the table and the host list fail, orders and answers are lost or late, links stall.
+    // A request that runs twice, a wrong answer or overcommitted accelerator memory in such a run can also happen in production.
     const auto range = seedRange();
     RandomRunCounts total;
     for (auto seed = range.first; seed <= range.last; ++seed) {
-        INFO("to run this again: tools/soak " << seed << " " << seed);
+        INFO("to repeat this run: tools/soak " << seed << " " << seed);
         std::cout << "seed " << seed << std::flush;
         const auto counts = RandomRun(seed).run(RunDuration);
         std::cout << ": " << counts.text() << std::endl;
--- a/tests/system_reachable.cpp
+++ b/tests/system_reachable.cpp
@@ -1,4 +1,4 @@
-// Every declared model stays reachable, or is so again, when agents, engines, entries and the platform fail.
+// Every declared model stays reachable, or becomes reachable again, when agents, engines, entries or the platform fail.
 #include "tests/harness_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -21,9 +21,9 @@
 
 } // namespace
 
-TEST_CASE("every model is reachable again after its holders die")
+TEST_CASE("every model is reachable again after the runners that hold it die")
 {
-    // A rack goes, and with it the only runners that held some models. Receptionists asking for those get an error until they are loaded elsewhere.
+    // The only runners that hold some models fail. Callers get errors for these models until other runners have loaded them.
     const bool storeIsDown = GENERATE(false, true);
     INFO("the table is " << (storeIsDown ? "down" : "up"));
     Cluster cluster({.entries = 2, .runners = 3, .ledgers = 0});
@@ -41,9 +41,9 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("a wrong host list takes nothing out of service")
+TEST_CASE("a wrong or unreachable host list takes nothing out of service")
 {
-    // The platform's list suddenly is empty, or claims that all are leaving. To believe it would take every target away at once.
+    // If the system trusted a host list that is suddenly empty or marks every host as leaving, it would take all targets out of service at once.
     const std::string mode = GENERATE(as<std::string> {}, "empty", "refuse", "freeze");
     INFO("the host list: " << mode);
     Cluster cluster;
@@ -55,9 +55,9 @@
     CHECK(cluster.debit(1, "wrong-list", "asha", 1)->outcome() == "delivered");
 }
 
-TEST_CASE("processes that start during an outage of the table serve from what their peers know")
+TEST_CASE("processes that start while the table is down get the configuration from their peers and serve")
 {
-    // The table is down for an hour, and meanwhile hosts are replaced as on any day. A new entry or agent that waited for the table would be lost capacity.
+    // Hosts are also replaced while the table is down. If new entries and agents waited for the table, their capacity would be missing all that time.
     Cluster cluster;
     cluster.bringUp();
     cluster.fault({{"part", "table"}, {"mode", "refuse"}});
--- a/tests/system_runonce.cpp
+++ b/tests/system_runonce.cpp
@@ -1,4 +1,4 @@
-// A request that may not be repeated runs at most once, and "not run" is true whenever it is said.
+// A non-idempotent request runs at most once, and a request whose outcome is "not-run" hasn't run.
 #include "tests/harness_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
     return {.entries = 2, .runners = 0, .ledgers = 2, .models = "# none\n"};
 }
 
-/// What an answer claims must agree with the ledger's own count.
+/// Checks that the outcome in an answer agrees with the ledger's own count of executions.
 auto checkOutcome(Cluster &cluster, const CallPtr &answer, const std::string &key) -> void
 {
     const int runs = cluster.executions(key);
@@ -27,7 +27,7 @@
     }
 }
 
-/// Sends the same debit through the other entry until it gets a definite answer, as a caller would.
+/// Resends a debit through both entries in turn until it is delivered or `tries` are used up; returns the last answer.
 auto resend(Cluster &cluster, const std::string &key, int tries = 5) -> CallPtr
 {
     CallPtr answer;
@@ -43,10 +43,9 @@
 
 } // namespace
 
-TEST_CASE("a debit that is sent again through another entry runs once")
+TEST_CASE("a debit that is resent through another entry runs once")
 {
-    // The clerk's tool gives up waiting and posts the debit again; the balancer sends it to the other entry. Run twice, the patron pays for
-    // minutes never used.
+    // A client times out and resends the debit, and a load balancer sends it to the other entry. If it ran twice, the account would be charged twice.
     Cluster cluster(plainOptions());
     cluster.bringUp();
     SECTION("after the answer")
@@ -69,9 +68,9 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("a debit whose agent dies after it ran is never run again")
+TEST_CASE("a debit whose agent is killed after it ran is never run again")
 {
-    // The ledger has booked the debit, and the agent's host dies before the answer gets out. Nobody else knows that it ran, but the claim does.
+    // The ledger has executed the debit, and the agent is killed before it sends the answer. Only the stored claim shows that the debit may have run.
     Cluster cluster(plainOptions());
     cluster.bringUp();
     const auto first = cluster.beginDebit(1, "killed-1", "asha", 3, "?hold-ms=2500");
@@ -88,10 +87,10 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("a claim whose answer is lost after it took effect doubles nothing and is not called not-run")
+TEST_CASE("a claim whose write takes effect without an answer causes neither a second run nor a false not-run")
 {
-    // The table commits the claim, and the connection dies before the agent hears of it. To guess either way would be wrong: run twice, or refused
-    // for ever.
+    // The table commits the claim, and the connection breaks before the agent gets the answer. The agent must not assume either result: the request could
+    // run twice, or be refused for ever.
     Cluster cluster(plainOptions());
     cluster.bringUp();
     for (int i = 0; i < 6; ++i) {
@@ -106,10 +105,10 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("an agent that is paused and wakes up runs nothing a second time")
+TEST_CASE("an agent that is paused and resumed runs nothing a second time")
 {
-    // The host swaps or its virtual machine is moved: the agent stands still between taking a debit and passing it on. The caller has it posted again
-    // elsewhere; then the agent wakes and goes on as if nothing had happened.
+    // An agent is paused (by swapping, or because its virtual machine is moved) after it has received a debit and before it has forwarded it. The caller
+    // resends the debit through another entry. Then the agent resumes with its outdated state.
     Cluster cluster(plainOptions());
     cluster.bringUp();
     std::vector<CallPtr> first;
@@ -137,9 +136,9 @@
     checkInvariants(cluster);
 }
 
-TEST_CASE("with the table down a debit is refused as not run, and truly isn't")
+TEST_CASE("a debit that is refused as not run while the table is down hasn't run")
 {
-    // An outage of the platform's table service. The clerk is told at once that nothing was debited, and posts it again when the table is back.
+    // While the platform's table is down, the caller must be told that nothing was debited, so that it can safely resend the debit afterwards.
     const std::string mode = GENERATE(as<std::string> {}, "refuse", "hang");
     INFO("the table: " << mode);
     Cluster cluster(plainOptions());
--- a/tests/textparts.h
+++ b/tests/textparts.h
@@ -1,4 +1,4 @@
-// Looking into answers as text.
+// Helpers that parse response bodies in tests.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace KingCup
 {
 
-/// How often `part` stands in `text`.
+/// Number of occurrences of `part` in `text`; overlapping ones count.
 inline auto countOccurrences(const std::string &text, const std::string &part) -> int
 {
     int count = 0;
@@ -18,7 +18,7 @@
     return count;
 }
 
-/// The data of each whole server-sent event.
+/// The data of each complete server-sent event in `body`, without the event that is still incomplete at its end.
 inline auto eventData(const std::string &body) -> std::vector<std::string>
 {
     constexpr std::string_view DataPrefix = "data: ";
