--- a/model/config.pml
+++ b/model/config.pml
@@ -1,21 +1,22 @@
-/* The configuration log: operators racing with changes, a store that loses answers, and what they are told (src/core/configlog.h).
+/* The configuration log: concurrent changes by operators, a store that loses answers, and the outcomes that operators are told (src/core/configlog.h).
  *
- * ASKS commits of CHANGES changes: the operators' tools ask for change 1 twice (again with the same change id, from another entry, maybe
- * at the same time) and for the others once, all made against revision 0 or the one read at the start. The table loses requests, loses
- * answers after the write took effect, lets a write take effect any time later, and has an outage. An entry may be paused anywhere.
- * One adopter reads the log with any lag, from the table or from lagging peers.
+ * ASKS commit requests for CHANGES changes: the operators' tools request change 1 twice (with the same change id, from another entry, possibly
+ * at the same time) and the others once. Each change is made against revision 0 or the revision in force at its first request. The table loses
+ * requests, loses answers after the write took effect, lets a write take effect any time later, and has an outage. An entry may be paused at any
+ * step. One adopter reads the log with any lag, from the table or from peers that lag behind.
  *
- * Checked: a change is in the log at most once; "accepted" names the revision where it is; a change told "conflict", or
- * "unavailable" with no ask open or told "unknown", never comes into force; a change is accepted only on the revision it was made against; the adopted revision never falls.
+ * Checked: a change is in the log at most once; "accepted" is told only for a change in the log; a change never comes into force after "conflict",
+ * or after "unavailable" if no other request for it is open or was told "unknown"; a change is accepted only on the revision that it was made
+ * against; the adopted revision never decreases.
  *
  * Mutants: NO_HEAD_CAS, NO_CHANGE_ID, NO_EXPECTED, NO_RESEND, NO_UNCERTAIN, NO_HIGHER_ONLY
  */
 #ifndef ASKS
 #define ASKS 3
 #endif
-#define CHANGES 2 /* asks 1 and 2 are for change 1, ask 3 for change 2 */
+#define CHANGES 2 /* requests 1 and 2 are for change 1, request 3 for change 2 */
 #ifndef TRIES
-#define TRIES 2 /* writes sent for one ask */
+#define TRIES 2 /* writes sent for one request */
 #endif
 #define LATE 2
 #define CHANGE(ask) (ask <= 2 -> 1 : ask - 1)
@@ -23,13 +24,13 @@
 mtype = { COMMITTED, CONFLICT, LOST, REFUSED };
 
 byte headRevision = 0;
-byte headVersion = 0; /* of the head's row; rises with every write */
-byte inLog[CHANGES + 1]; /* the revision that the change became; 0: none */
-byte made[CHANGES + 1]; /* the revision it was made against */
-bool fixed[CHANGES + 1]; /* `made` is chosen */
-bool denied[CHANGES + 1]; /* told so that it may never come into force */
-byte open[CHANGES + 1]; /* asks not decided yet */
-bool unknown[CHANGES + 1]; /* some ask was told so */
+byte headVersion = 0; /* of the head row; incremented by every write */
+byte inLog[CHANGES + 1]; /* the revision that the change became; 0: not in the log */
+byte baseRevision[CHANGES + 1]; /* the revision that the change was made against */
+bool hasBase[CHANGES + 1]; /* `baseRevision` is set */
+bool denied[CHANGES + 1]; /* an operator was told an outcome after which the change must never come into force */
+byte open[CHANGES + 1]; /* requests without an outcome */
+bool unknown[CHANGES + 1]; /* a request was told "unknown" */
 bool down = false;
 bool hadOutage = false;
 
@@ -43,13 +44,13 @@
 #define MATCHES(expect) (headVersion == expect)
 #endif
 
-/* The transaction: head at `expect`, log and change rows absent. */
+/* The transaction; its conditions are that the head row is at version `expect` and the log row and the change row are absent. */
 inline apply(what, expect, revision, result) {
   if
   :: MATCHES(expect) ->
      assert(inLog[what] == 0);
      assert(!denied[what]);
-     assert(revision == made[what] + 1);
+     assert(revision == baseRevision[what] + 1);
      headRevision = revision;
      headVersion++;
      inLog[what] = revision;
@@ -71,7 +72,7 @@
   }
 }
 
-inline tell(refused) {
+inline reportGivenUp(refused) {
   atomic {
     open[change]--;
     if
@@ -91,10 +92,10 @@
   bool uncertain = false;
   mtype result = 0;
 
-  /* The set is made against the revision in force; asking again doesn't change that. */
+  /* The declaration set is made against the revision in force; a repeated request keeps that revision. */
   atomic {
     if
-    :: !fixed[change] -> fixed[change] = true; made[change] = headRevision
+    :: !hasBase[change] -> hasBase[change] = true; baseRevision[change] = headRevision
     :: else
     fi
   }
@@ -115,8 +116,8 @@
 #ifdef NO_EXPECTED
        :: true -> expect = headVersion; revision = headRevision + 1
 #else
-       :: headRevision == made[change] -> expect = headVersion; revision = headRevision + 1
-       :: headRevision != made[change] -> goto conflict
+       :: headRevision == baseRevision[change] -> expect = headVersion; revision = headRevision + 1
+       :: headRevision != baseRevision[change] -> goto conflict
 #endif
        fi }
   fi;
@@ -133,7 +134,7 @@
   :: result == LOST ->
      uncertain = true;
 #ifdef NO_RESEND
-     /* Reads instead: "absent" is taken for "lost". */
+     /* Reads instead of sending the write again, and takes an absent row for a lost write. */
      if
      :: atomic { !down && inLog[change] != 0 -> goto accepted }
      :: atomic { !down && inLog[change] == 0 -> uncertain = false; goto giveUp }
@@ -151,9 +152,9 @@
   atomic { denied[change] = true; assert(inLog[change] == 0); open[change]--; goto done }
 giveUp:
 #ifdef NO_UNCERTAIN
-  tell(true);
+  reportGivenUp(true);
 #else
-  tell(!uncertain);
+  reportGivenUp(!uncertain);
 #endif
 done:
   atomic { expect = 0; revision = 0; tries = 0; resend = false; uncertain = false; result = 0 }
--- a/model/floor.pml
+++ b/model/floor.pml
@@ -1,11 +1,11 @@
-/* Floor copies: the row that names the holders of one artifact, two planners that change it, three holders (src/core/floor.h).
+/* Floor replicas: the row that names the holders of one artifact, two planners that change the row, and three holders (src/core/floor.h).
  *
- * Planners read the row, change their minds, hear holders' reports late, and write by compare-and-set what they composed from what they
- * read some time ago (a paused planner is one that stays at that point). Holders hear of rows late and out of order, from the table or
- * from peers; load, unload with a delay, report; their agents restart without memory, their engines crash and are empty.
+ * Planners read the row, choose other holders at any time, receive holders' reports late, and write by compare-and-set a row that is based on
+ * an earlier read (a paused planner is one that stays between the two). Holders receive rows late and out of order, from the table or from
+ * peers; they load, unload with a delay, and report. Their agents restart without memory; an engine that crashes comes back empty.
  *
- * With CRASHES 0, one copy wanted: a copy is always held. With CRASHES 1 and -DTWO, two copies wanted: the same.
- * Holders' sets are bit masks: 1, 2, 4.
+ * Checked: at least one replica is resident at any time, with one desired replica and CRASHES 0, and with two desired replicas (-DTWO) and CRASHES 1.
+ * Sets of holders are bit masks: 1, 2, 4.
  *
  * Mutants: NO_ROW_CAS, NO_CONFIRM, NO_CONFIRM_VERSION, NO_NEWER_ROW, NO_RESTART_PIN, NO_UNLOADING_HIDDEN
  */
@@ -23,8 +23,8 @@
 
 /* The row. */
 byte version = 1;
-byte names[VERSIONS + 1]; /* at each version */
-bool begun = false;
+byte rowHolders[VERSIONS + 1]; /* the holders that the row names, at each version */
+bool isInitialized = false;
 
 /* Holders. */
 bool resident[HOLDERS];
@@ -35,7 +35,7 @@
 byte crashes = 0;
 
 #define COPIES (resident[0] + resident[1] + resident[2])
-#define NAMED(h) ((names[readVersion[h]] & BIT(h)) != 0)
+#define NAMED(h) ((rowHolders[readVersion[h]] & BIT(h)) != 0)
 
 #ifdef NO_UNLOADING_HIDDEN
 #define HELD(h) (resident[h])
@@ -49,9 +49,9 @@
 #define FRESH(h) (readVersion[h] == based)
 #endif
 #ifdef NO_CONFIRM
-#define ALL_CONFIRMED ((desired & names[based]) == desired)
+#define ALL_CONFIRMED ((desired & rowHolders[based]) == desired)
 #else
-#define ALL_CONFIRMED ((desired & names[based] & confirmed) == desired)
+#define ALL_CONFIRMED ((desired & rowHolders[based] & confirmed) == desired)
 #endif
 
 #ifdef NO_ROW_CAS
@@ -62,11 +62,11 @@
 
 active [2] proctype Planner() {
   byte based = 0; /* the version read */
-  byte confirmed = 0; /* by reports made at that version */
+  byte confirmed = 0; /* holders whose reports confirm the artifact at that version */
   byte desired = 0;
   byte h = 0;
   byte next = 0;
-  begun;
+  isInitialized;
 end:
   do
   :: atomic { based != version ->
@@ -75,7 +75,7 @@
        confirmed = 0
 #endif
      }
-  /* Hears a report. */
+  /* Receives a report. */
   :: atomic { based != 0 ->
        if
        :: h = 0
@@ -87,7 +87,7 @@
        :: else -> confirmed = confirmed & (7 - BIT(h))
        fi;
        h = 0 }
-  /* Wants some holders, whichever, and writes the next row. */
+  /* Chooses any holders and writes the next row. */
   :: atomic { based != 0 && version < VERSIONS ->
        if
 #ifdef TWO
@@ -102,11 +102,11 @@
        fi;
        if
        :: ALL_CONFIRMED -> next = desired
-       :: else -> next = names[based] | desired
+       :: else -> next = rowHolders[based] | desired
        fi;
        if
-       :: UNCHANGED && next != names[based] ->
-          version++; names[version] = next; based = version;
+       :: UNCHANGED && next != rowHolders[based] ->
+          version++; rowHolders[version] = next; based = version;
 #ifndef NO_CONFIRM_VERSION
           confirmed = 0
 #endif
@@ -118,36 +118,36 @@
 
 active [HOLDERS] proctype Holder() {
   byte me = _pid - 2;
-  byte heard = 0;
-  begun;
+  byte received = 0;
+  isInitialized;
 end:
   do
   /* Reads the row itself. */
   :: atomic { !settled[me] -> readVersion[me] = version; settled[me] = true }
-  /* Hears of some row from a peer. */
+  /* Receives any version of the row from a peer. */
   :: atomic { version > 1 ->
-       heard = 1;
+       received = 1;
        do
-       :: heard < version -> heard++
+       :: received < version -> received++
        :: break
        od;
        if
 #ifndef NO_NEWER_ROW
-       :: heard > readVersion[me] -> readVersion[me] = heard
+       :: received > readVersion[me] -> readVersion[me] = received
 #else
-       :: heard != readVersion[me] -> readVersion[me] = heard
+       :: received != readVersion[me] -> readVersion[me] = received
 #endif
        :: else
        fi;
 #ifdef NO_RESTART_PIN
        settled[me] = true;
 #endif
-       heard = 0 }
+       received = 0 }
   :: atomic { readVersion[me] != 0 && NAMED(me) && !resident[me] -> resident[me] = true }
-  /* Drops what no row names: the order first, its effect later. */
+  /* Unloads an artifact that the row doesn't assign to it: first the order, then its effect. */
   :: atomic { resident[me] && !unloading[me] && settled[me] && !NAMED(me) -> unloading[me] = true }
   :: atomic { unloading[me] -> unloading[me] = false; resident[me] = false; assert(COPIES > 0) }
-  /* The agent restarts; an unload of its predecessor may still take effect, and until it can't any more, no copy is reported. */
+  /* The agent restarts. An unload ordered before the restart may still take effect; until it no longer can, the replica isn't reported. */
   :: atomic { restarts < RESTARTS -> restarts++; readVersion[me] = 0; settled[me] = false }
   :: atomic { crashes < CRASHES && resident[me] -> crashes++; resident[me] = false; unloading[me] = false; assert(COPIES > 0) }
   od
@@ -156,12 +156,12 @@
 init {
   atomic {
 #ifdef TWO
-    names[1] = 3; resident[0] = true; resident[1] = true;
+    rowHolders[1] = 3; resident[0] = true; resident[1] = true;
 #else
-    names[1] = 1; resident[0] = true;
+    rowHolders[1] = 1; resident[0] = true;
 #endif
     readVersion[0] = 1; readVersion[1] = 1; readVersion[2] = 1;
     settled[0] = true; settled[1] = true; settled[2] = true;
-    begun = true
+    isInitialized = true
   }
 }
--- a/model/ledger.pml
+++ b/model/ledger.pml
@@ -1,12 +1,12 @@
 /* The memory ledger: an agent, its engine, and the orders between them (src/core/ledger.h).
  *
- * Two artifacts of 2 units each, memory for 3. An order on its way is lost, or takes effect at any later moment; its answer may be lost
- * (that an accepted order may act late and that its answer was lost look the same to the ledger). Statuses are the truth at some moment
- * between asking and the answer, and may overtake each other. The agent is restarted without memory, the engine crashes and is empty.
- * "The longest delay has passed" is an event that can happen only when the order can't take effect any more; it removes the order.
+ * Two artifacts of 2 units each share a memory of 3 units. An order in flight is lost, or takes effect at any later time; its answer may be
+ * lost (the ledger can't tell an accepted order that takes effect late from one whose answer was lost). A status shows the engine's state at
+ * some time between request and answer; statuses may overtake each other. The agent may restart without memory; the engine may crash and comes
+ * back empty. "The longest delay has passed" is an event that happens only when the order can no longer take effect; it removes the order.
  *
- * With -DCHECKED the engine refuses orders below its fence; it loses the fence when it crashes, and is back only after the orders sent
- * before the crash can't take effect any more. Without, it ignores fences.
+ * With -DCHECKED the engine refuses orders below its fence. It loses the fence in a crash and comes back only when the orders sent before the
+ * crash can no longer take effect. Without -DCHECKED, it ignores fences.
  *
  * Checked: memory is never overcommitted; no artifact is loaded twice; no unload takes effect on an artifact that the agent has since
  * ordered to be loaded.
@@ -21,17 +21,17 @@
 #define ENGINECRASHES 1
 #endif
 #ifndef ORDERS
-#define ORDERS 4 /* sent in all */
+#define ORDERS 4 /* orders sent in total */
 #endif
 #ifndef RAISES
-#define RAISES 2 /* fences asked for in all */
+#define RAISES 2 /* fence raises requested in total */
 #endif
 #ifndef STATUSES
-#define STATUSES 2 /* under way at once */
+#define STATUSES 2 /* status requests in flight at once */
 #endif
 #define SIZE 2
 #define MEMORY 3
-#define SLOTS 2 /* orders on their way at once */
+#define SLOTS 2 /* orders in flight at once */
 
 mtype = { LOAD, UNLOAD };
 
@@ -41,42 +41,42 @@
 byte generation = 1;
 byte engineCrashes = 0;
 
-/* Orders on their way. */
-mtype wayKind[SLOTS];
-byte wayArtifact[SLOTS];
-byte wayFence[SLOTS];
-byte wayEpoch[SLOTS]; /* which agent sent it */
+/* Orders in flight. */
+mtype orderKind[SLOTS];
+byte orderArtifact[SLOTS];
+byte orderFence[SLOTS];
+byte orderEpoch[SLOTS]; /* epoch of the agent that sent the order */
 byte orders = 0;
 
 /* The agent. */
-byte epoch = 1;
+byte epoch = 1; /* incremented by each restart */
 bool open = false;
-bool started = false; /* a first status was received, and with it the opening fence */
+bool started = false; /* the first status was received, which determines the opening fence */
 byte openingFence = 0;
-byte highest = 0; /* fence used in any order so far, by any agent */
-byte known = 0; /* fence for orders */
+byte highest = 0; /* highest fence of any order so far, in any epoch */
+byte agentFence = 0; /* highest fence known to the agent; its orders carry it */
 byte knownGeneration = 0;
 bool knownResident[2];
-byte knownFence = 0; /* shown by the last status */
+byte knownFence = 0; /* as shown by the last status */
 mtype outstanding[2];
 byte outFence[2];
 byte outGeneration[2];
 bool passed[2]; /* the longest delay has passed since the order was sent */
-bool startPassed = false; /* and since the agent was started */
-byte raising = 0; /* fence asked for, 0: none */
+bool startPassed = false; /* the longest delay has passed since the agent was started */
+byte raising = 0; /* fence of the pending raise; 0: none */
 byte raises = 0;
 
-/* Statuses under way: 0 free, 1 asked, 2 taken at the engine. */
+/* Status requests in flight. Phase 0: free; 1: requested; 2: the engine has recorded its state. */
 byte statusPhase[2];
 bool statusResident0[2];
 bool statusResident1[2];
 byte statusFence[2];
 byte statusGeneration[2];
-bool statusPassed0[2]; /* asked for after the delay of the order for artifact 0 had passed */
+bool statusPassed0[2]; /* requested after the longest delay of the order for artifact 0 had passed */
 bool statusPassed1[2];
-bool statusStart[2]; /* asked for after the delay since the start had passed */
+bool statusStart[2]; /* requested after the longest delay since the agent's start had passed */
 byte statusEpoch[2];
-bool overtaken[2]; /* another status was received since this one was asked for */
+bool overtaken[2]; /* another status was received since this one was requested */
 
 #define USED (SIZE * resident[0] + SIZE * resident[1])
 #define CHARGES(a) (knownResident[a] || (outstanding[a] == LOAD && CHARGED))
@@ -93,29 +93,29 @@
 #define MAY_ORDER(a) (outstanding[a] == 0)
 #endif
 
-#define FREE_SLOT (wayKind[0] == 0 || wayKind[1] == 0)
+#define FREE_SLOT (orderKind[0] == 0 || orderKind[1] == 0)
 
 inline send(what, a) {
   orders++;
   if
-  :: wayKind[0] == 0 -> slot = 0
-  :: wayKind[0] != 0 -> slot = 1
+  :: orderKind[0] == 0 -> slot = 0
+  :: orderKind[0] != 0 -> slot = 1
   fi;
-  wayKind[slot] = what; wayArtifact[slot] = a; wayFence[slot] = known; wayEpoch[slot] = epoch;
-  outstanding[a] = what; outFence[a] = known; outGeneration[a] = knownGeneration; passed[a] = false;
+  orderKind[slot] = what; orderArtifact[slot] = a; orderFence[slot] = agentFence; orderEpoch[slot] = epoch;
+  outstanding[a] = what; outFence[a] = agentFence; outGeneration[a] = knownGeneration; passed[a] = false;
   if
   :: a == 0 -> statusPassed0[0] = false; statusPassed0[1] = false
   :: a == 1 -> statusPassed1[0] = false; statusPassed1[1] = false
   fi;
   if
-  :: known > highest -> highest = known
+  :: agentFence > highest -> highest = agentFence
   :: else
   fi;
   slot = 0
 }
 
-inline freeWay(s) {
-  wayKind[s] = 0; wayArtifact[s] = 0; wayFence[s] = 0; wayEpoch[s] = 0
+inline freeOrder(s) {
+  orderKind[s] = 0; orderArtifact[s] = 0; orderFence[s] = 0; orderEpoch[s] = 0
 }
 
 inline forget(a) {
@@ -152,7 +152,7 @@
 #define FENCED(a) (false)
 #endif
 
-/* settle() of the ledger. */
+/* Forgets an outstanding order that is settled, as isSettled() in src/core/ledger.cpp. */
 inline settle(a, statusPassed) {
   if
   :: outstanding[a] == LOAD && knownResident[a] -> forget(a)
@@ -190,7 +190,7 @@
   knownFence = statusFence[s];
   knownGeneration = statusGeneration[s];
   if
-  :: knownFence > known -> known = knownFence
+  :: knownFence > agentFence -> agentFence = knownFence
   :: else
   fi;
   reopen();
@@ -214,7 +214,7 @@
   byte slot = 0;
 end:
   do
-  /* A load that fits beside everything charged. */
+  /* Orders a load that fits beside all charged memory, or an unload. */
   :: atomic { OPEN && raising == 0 && orders < ORDERS && FREE_SLOT ->
        if
        :: a = 0
@@ -226,7 +226,7 @@
        :: else
        fi;
        a = 0 }
-  /* Questions for the status. */
+  /* Requests a status. */
   :: atomic { statusPhase[0] == 0 || (STATUSES == 2 && statusPhase[1] == 0) ->
        if
        :: statusPhase[0] == 0 -> s = 0
@@ -235,7 +235,7 @@
        statusPhase[s] = 1; statusEpoch[s] = epoch;
        statusPassed0[s] = passed[0]; statusPassed1[s] = passed[1]; statusStart[s] = startPassed;
        s = 0 }
-  /* An answer arrives, or is given up. */
+  /* A status arrives, or is lost. */
   :: atomic { statusPhase[0] == 2 || statusPhase[1] == 2 ->
        if
        :: statusPhase[0] == 2 -> s = 0
@@ -254,15 +254,15 @@
        freeStatus(s);
        s = 0 }
 #ifdef CHECKED
-  :: atomic { raising == 0 && raises < RAISES && started && (!open && known < openingFence || open && (outstanding[0] != 0 || outstanding[1] != 0)) ->
+  :: atomic { raising == 0 && raises < RAISES && started && (!open && agentFence < openingFence || open && (outstanding[0] != 0 || outstanding[1] != 0)) ->
        raises++;
        if
        :: !open -> raising = openingFence
-       :: else -> raising = known + 1
+       :: else -> raising = agentFence + 1
        fi }
 #endif
   :: atomic { epoch <= RESTARTS ->
-       epoch++; open = false; started = false; openingFence = 0; known = 0; knownGeneration = 0; knownFence = 0;
+       epoch++; open = false; started = false; openingFence = 0; agentFence = 0; knownGeneration = 0; knownFence = 0;
        knownResident[0] = false; knownResident[1] = false; forget(0); forget(1); startPassed = false; raising = 0 }
   od
 }
@@ -272,47 +272,47 @@
 end:
   do
   /* An order takes effect, or is refused, or is lost. */
-  :: atomic { wayKind[0] != 0 || wayKind[1] != 0 ->
+  :: atomic { orderKind[0] != 0 || orderKind[1] != 0 ->
        if
-       :: wayKind[0] != 0 -> s = 0
-       :: wayKind[1] != 0 -> s = 1
+       :: orderKind[0] != 0 -> s = 0
+       :: orderKind[1] != 0 -> s = 1
        fi;
        if
 #ifdef CHECKED
-       :: wayFence[s] < fence ->
+       :: orderFence[s] < fence ->
             if
-            :: wayEpoch[s] == epoch && outstanding[wayArtifact[s]] == wayKind[s] && outFence[wayArtifact[s]] == wayFence[s] -> forget(wayArtifact[s]) /* the refusal is heard */
+            :: orderEpoch[s] == epoch && outstanding[orderArtifact[s]] == orderKind[s] && outFence[orderArtifact[s]] == orderFence[s] -> forget(orderArtifact[s]) /* the agent receives the refusal */
             :: skip
             fi
-       :: wayFence[s] >= fence ->
+       :: orderFence[s] >= fence ->
 #else
        :: true ->
 #endif
             if
-            :: wayKind[s] == LOAD ->
-                 assert(!resident[wayArtifact[s]]);
-                 resident[wayArtifact[s]] = true;
+            :: orderKind[s] == LOAD ->
+                 assert(!resident[orderArtifact[s]]);
+                 resident[orderArtifact[s]] = true;
                  assert(USED <= MEMORY)
-            :: wayKind[s] == UNLOAD ->
-                 assert(outstanding[wayArtifact[s]] != LOAD);
-                 resident[wayArtifact[s]] = false
+            :: orderKind[s] == UNLOAD ->
+                 assert(outstanding[orderArtifact[s]] != LOAD);
+                 resident[orderArtifact[s]] = false
             fi
        :: skip /* lost */
        fi;
-       freeWay(s);
+       freeOrder(s);
        s = 0 }
-  /* The truth, for a status under way. */
+  /* Records the engine's state for a status request in flight. */
   :: atomic { statusPhase[0] == 1 -> statusPhase[0] = 2; statusResident0[0] = resident[0]; statusResident1[0] = resident[1]; statusFence[0] = fence; statusGeneration[0] = generation }
   :: atomic { statusPhase[1] == 1 -> statusPhase[1] = 2; statusResident0[1] = resident[0]; statusResident1[1] = resident[1]; statusFence[1] = fence; statusGeneration[1] = generation }
 #ifdef CHECKED
-  /* A fence is raised; the answer may be lost, and then the same number is asked for again. */
+  /* A fence is raised. If the answer is lost, the same number is requested again. */
   :: atomic { raising != 0 ->
        if
        :: raising > fence -> fence = raising
        :: else
        fi;
        if
-       :: known < raising -> known = raising
+       :: agentFence < raising -> agentFence = raising
        :: else
        fi;
        raising = 0 }
@@ -322,22 +322,22 @@
        engineCrashes++; generation++; resident[0] = false; resident[1] = false;
 #ifdef CHECKED
        fence = 0;
-       freeWay(0); freeWay(1);
+       freeOrder(0); freeOrder(1);
 #endif
        skip }
   od
 }
 
-/* The longest delay: passes for an order only when it can't take effect any more. */
+/* The longest delay passes for an order only when the order can no longer take effect. */
 active proctype Time() {
   byte s = 0;
 end:
   do
   :: atomic { outstanding[0] != 0 && !passed[0] -> passed[0] = true;
-       s = 0; do :: s < SLOTS -> if :: wayKind[s] != 0 && wayArtifact[s] == 0 && wayEpoch[s] == epoch -> freeWay(s) :: else fi; s++ :: s == SLOTS -> break od; s = 0 }
+       s = 0; do :: s < SLOTS -> if :: orderKind[s] != 0 && orderArtifact[s] == 0 && orderEpoch[s] == epoch -> freeOrder(s) :: else fi; s++ :: s == SLOTS -> break od; s = 0 }
   :: atomic { outstanding[1] != 0 && !passed[1] -> passed[1] = true;
-       s = 0; do :: s < SLOTS -> if :: wayKind[s] != 0 && wayArtifact[s] == 1 && wayEpoch[s] == epoch -> freeWay(s) :: else fi; s++ :: s == SLOTS -> break od; s = 0 }
+       s = 0; do :: s < SLOTS -> if :: orderKind[s] != 0 && orderArtifact[s] == 1 && orderEpoch[s] == epoch -> freeOrder(s) :: else fi; s++ :: s == SLOTS -> break od; s = 0 }
   :: atomic { !startPassed -> startPassed = true;
-       s = 0; do :: s < SLOTS -> if :: wayKind[s] != 0 && wayEpoch[s] < epoch -> freeWay(s) :: else fi; s++ :: s == SLOTS -> break od; s = 0 }
+       s = 0; do :: s < SLOTS -> if :: orderKind[s] != 0 && orderEpoch[s] < epoch -> freeOrder(s) :: else fi; s++ :: s == SLOTS -> break od; s = 0 }
   od
 }
--- a/model/orderlease.pml
+++ b/model/orderlease.pml
@@ -1,22 +1,29 @@
 /*
- * The lease of the one gateway that gives orders (src/core/orderlease): a row of the store, renewed by conditional writes, taken over by a
- * gateway that saw it unchanged, and heard nothing of its holder, for a whole lease.
+ * The lease of the one gateway that gives orders (src/core/orderlease.h): a row of the store, renewed by conditional writes. Another gateway may
+ * take it over when, for a whole lease, it has seen the row unchanged and has received nothing from the holder.
  *
- * Time is a number that every gateway reads alike: clocks are never compared in the code, and they count the time of a suspension. A gateway
- * that is frozen is one that takes no step while time goes on; that may happen at any point. Writes take effect late, or never, and their
- * answers may be lost. Digests between gateways may be lost. An order takes up to MARGIN to arrive. One gateway may start again under its id.
+ * All gateways read the same time: the code never compares clocks of different hosts, and its clocks count the time of a suspension. A frozen
+ * gateway takes no step while time goes on; this may happen at any point. Writes take effect late or never, and their answers may be lost.
+ * Digests between gateways may be lost. An order arrives within ARRIVAL, which the holder's MARGIN covers. One gateway may restart under its id.
  *
- * The first gateway holds the lease at the start, renewed at time 0; the second wants it. Both are candidates by the row. A gateway that is none waits from
- * when it saw the row, and the holder then relies on the candidates for as long since its last write, less the margin: the same relation with a longer
- * LEASE. Candidates themselves aren't modelled; tests/unit_orders.cpp plays a holder, a candidate and a third gateway.
+ * The first gateway holds the lease at the start, renewed at time 0; the second tries to take it. The row names both as candidates. A gateway
+ * that isn't a candidate waits from when it saw the row's version, and the holder relies on the candidates for as long since its last write,
+ * less the margin: the same relation with a longer LEASE. Candidates aren't modelled; tests/unit_orders.cpp runs a holder, a candidate and a
+ * third gateway.
  *
- * What must hold: an order never arrives after one of a holder with a higher fence.
+ * Checked: an order never arrives after an order of a holder with a higher fence.
  *
- * Mutants: NO_CAS (writes are unconditional), NO_SENT_TIME (a lease counts from the answer), NO_WAIT (a successor takes the row at sight),
- * NO_MARGIN (a holder orders until its lease is over), NO_INCARNATION (after a start, an own row counts as held), NO_HEARD_WAIT (a successor
- * doesn't count the silence of the holder from when it was heard last), NO_LATE_SENT (a write whose answer was lost counts from when its row was
- * read), NO_LAPSE (the others' word brings back a lease that was over), NO_ARRIVAL_WAIT (a gateway that started again on the holder's host takes the row
- * before the last orders of before have arrived), NO_READ_AFTER_DIGEST (the version that a digest names is written upon without having read the row).
+ * Mutants:
+ *   NO_CAS                writes are unconditional
+ *   NO_SENT_TIME          a renewal counts from its answer instead of from when it was sent
+ *   NO_WAIT               a successor takes the row as soon as it has read it
+ *   NO_MARGIN             a holder gives orders until its lease expires
+ *   NO_INCARNATION        after a restart, a row written by the former incarnation counts as held
+ *   NO_HEARD_WAIT         a successor waits from when it saw the row's version, although it received a digest from the holder later
+ *   NO_LATE_SENT          a write whose answer was lost counts from when its row was read
+ *   NO_LAPSE              a confirmation from another gateway revives an expired lease
+ *   NO_ARRIVAL_WAIT       a gateway that restarted on the holder's host takes the row before the orders of the former incarnation have arrived
+ *   NO_READ_AFTER_DIGEST  a gateway writes on top of the version that a digest names without having read the row
  */
 #define LEASE 3
 #ifdef NO_MARGIN
@@ -24,46 +31,46 @@
 #else
 #define MARGIN 1
 #endif
-#define ARRIVAL 1 /* an order arrives within this */
+#define ARRIVAL 1 /* longest time until an order arrives */
 #ifndef END
-#define END 5 /* of time */
+#define END 5 /* time at which the run ends */
 #endif
 #ifndef WRITES
-#define WRITES 2 /* of the first gateway; the second has one */
+#define WRITES 2 /* writes of the first gateway; the second has one */
 #endif
 #ifndef RESTARTS
-#define RESTARTS 1 /* of the first gateway */
+#define RESTARTS 1 /* restarts of the first gateway: 0 or 1 */
 #endif
 #ifndef DIGESTS
-#define DIGESTS 1 /* of the first gateway */
+#define DIGESTS 1 /* digests of the first gateway */
 #endif
 
 byte now = 0;
 
-/* The row: version, and whose write it was. */
+/* The row: its version, and who wrote it with which write. */
 byte version = 1;
 byte writer = 1; /* gateway and incarnation: 1 + gateway + 2 * incarnation; 0: none */
 byte writeNumber = 1;
 
-/* Writes on their way, and the answers. */
+/* Writes in flight, and their answers. */
 typedef Write {
-    bool flying;
+    bool isInFlight;
     byte expected;
     byte name;
     byte number;
 };
 Write writes[2];
-bool answered[2]; /* an answer is there */
+bool answered[2]; /* an answer has arrived */
 bool accepted[2];
 byte acceptedVersion[2];
 
-/* Digests on their way, and what is said to have been heard. */
-bool digestFlying[2];
+/* Digests in flight. */
+bool digestInFlight[2];
 byte digestSentAt[2];
-byte digestVersion[2]; /* of the row, as the sender wrote it last */
+byte digestVersion[2]; /* of the row, by the sender's last write */
 
-/* Orders on their way. */
-bool orderFlying[2];
+/* Orders in flight. */
+bool orderInFlight[2];
 byte orderFence[2];
 byte orderSentAt[2];
 byte highestArrived = 0;
@@ -72,14 +79,14 @@
 byte incarnation[2];
 bool holds[2];
 byte fence[2];
-byte known[2]; /* version as last seen */
-byte seenSince[2];
+byte knownVersion[2]; /* version last seen */
+byte versionSeenAt[2];
 bool mustRead[2];
-bool underWay[2];
-byte sentAt[2]; /* of the write under way, or the last one */
+bool writePending[2];
+byte sentAt[2]; /* of the pending write, or the last one */
 byte lastNumber[2];
 byte renewedAt[2];
-byte heardAt[2];
+byte digestReceivedAt[2];
 byte digestsLeft[2];
 byte writesLeft[2];
 byte startedAt[2];
@@ -87,17 +94,17 @@
 
 #define NAME(g) (1 + g + 2 * incarnation[g])
 #define LATER(a, b) ((a) > (b) -> (a) : (b))
-#define MAYORDER(g) (holds[g] && now + MARGIN < renewedAt[g] + LEASE)
+#define MAY_ORDER(g) (holds[g] && now + MARGIN < renewedAt[g] + LEASE)
 
 inline readRow(g) {
     if
-    :: version != known[g] -> known[g] = version; seenSince[g] = now
+    :: version != knownVersion[g] -> knownVersion[g] = version; versionSeenAt[g] = now
     :: else
     fi;
     mustRead[g] = false;
     if
     :: writer == NAME(g) ->
-        /* An own write whose answer was lost: it counts from when it left. */
+        /* This gateway's write, whose answer was lost: the renewal counts from when the write was sent. */
         if
         :: writeNumber == lastNumber[g] ->
             if
@@ -121,7 +128,7 @@
 #ifndef NO_WAIT
         if
         :: writer != 0 && (writer - 1) % 2 == g ->
-            /* This host's own gateway of before has ended: only its orders on their way are waited for. */
+            /* The former incarnation on this host has ended: wait only until its orders in flight have arrived. */
             if
 #ifdef NO_ARRIVAL_WAIT
             :: true
@@ -131,9 +138,9 @@
 #endif
             fi
 #ifdef NO_HEARD_WAIT
-        :: writer != 0 && (writer - 1) % 2 != g && now < seenSince[g] + LEASE -> mustRead[g] = true
+        :: writer != 0 && (writer - 1) % 2 != g && now < versionSeenAt[g] + LEASE -> mustRead[g] = true
 #else
-        :: writer != 0 && (writer - 1) % 2 != g && now < LATER(seenSince[g], heardAt[g]) + LEASE -> mustRead[g] = true
+        :: writer != 0 && (writer - 1) % 2 != g && now < LATER(versionSeenAt[g], digestReceivedAt[g]) + LEASE -> mustRead[g] = true
 #endif
         :: else
         fi
@@ -141,13 +148,13 @@
     fi
 }
 
-inline takeAnswer(g) {
+inline handleAnswer(g) {
     answered[g] = false;
-    underWay[g] = false;
+    writePending[g] = false;
     if
     :: accepted[g] ->
-        known[g] = acceptedVersion[g];
-        seenSince[g] = now;
+        knownVersion[g] = acceptedVersion[g];
+        versionSeenAt[g] = now;
         if
         :: !holds[g] -> fence[g] = acceptedVersion[g]
         :: else
@@ -166,30 +173,30 @@
     do
     :: now >= END -> break
     /* The row. */
-    :: atomic { now < END && !underWay[g] && mustRead[g] -> readRow(g) }
-    :: atomic { now < END && !underWay[g] && !mustRead[g] && !writes[g].flying && writesLeft[g] > 0 ->
+    :: atomic { now < END && !writePending[g] && mustRead[g] -> readRow(g) }
+    :: atomic { now < END && !writePending[g] && !mustRead[g] && !writes[g].isInFlight && writesLeft[g] > 0 ->
         writesLeft[g]--;
         lastNumber[g]++;
-        writes[g].flying = true;
-        writes[g].expected = known[g];
+        writes[g].isInFlight = true;
+        writes[g].expected = knownVersion[g];
         writes[g].name = NAME(g);
         writes[g].number = lastNumber[g];
         sentAt[g] = now;
-        underWay[g] = true;
+        writePending[g] = true;
         answered[g] = false }
-    :: atomic { underWay[g] && answered[g] -> takeAnswer(g) }
-    :: atomic { underWay[g] && !answered[g] -> underWay[g] = false; mustRead[g] = true } /* no answer in time */
-    /* Digests: the holder's, and that it was heard. */
-    :: atomic { holds[g] && !digestFlying[g] && digestsLeft[g] > 0 -> digestsLeft[g]--; digestFlying[g] = true; digestSentAt[g] = now; digestVersion[g] = known[g] }
-    /* The other one's digest is heard; its word back arrives at once, which is the least it can be late for the holder's count. */
-    :: atomic { digestFlying[1 - g] ->
-        digestFlying[1 - g] = false;
-        heardAt[g] = now;
-        /* The digest names the row's version as its sender wrote it last: as good as a reading. */
+    :: atomic { writePending[g] && answered[g] -> handleAnswer(g) }
+    :: atomic { writePending[g] && !answered[g] -> writePending[g] = false; mustRead[g] = true } /* the answer timed out */
+    /* The holder sends a digest. */
+    :: atomic { holds[g] && !digestInFlight[g] && digestsLeft[g] > 0 -> digestsLeft[g]--; digestInFlight[g] = true; digestSentAt[g] = now; digestVersion[g] = knownVersion[g] }
+    /* Receives the other gateway's digest. The confirmation arrives at once; a later one would count from the same sending time. */
+    :: atomic { digestInFlight[1 - g] ->
+        digestInFlight[1 - g] = false;
+        digestReceivedAt[g] = now;
+        /* The digest names the version of its sender's last write: the version counts as seen now. */
         if
-        :: !holds[g] && digestVersion[1 - g] > known[g] ->
-            known[g] = digestVersion[1 - g];
-            seenSince[g] = now;
+        :: !holds[g] && digestVersion[1 - g] > knownVersion[g] ->
+            knownVersion[g] = digestVersion[1 - g];
+            versionSeenAt[g] = now;
 #ifndef NO_READ_AFTER_DIGEST
             mustRead[g] = true
 #endif
@@ -200,38 +207,38 @@
 #ifdef NO_LAPSE
         :: holds[1 - g] ->
 #else
-        :: MAYORDER(1 - g) ->
+        :: MAY_ORDER(1 - g) ->
 #endif
-            renewedAt[1 - g] = LATER(renewedAt[1 - g], digestSentAt[1 - g]) /* the word arrives */
-        :: true /* the word is lost */
+            renewedAt[1 - g] = LATER(renewedAt[1 - g], digestSentAt[1 - g]) /* the confirmation arrives */
+        :: true /* the confirmation is lost */
         fi;
         digestSentAt[1 - g] = 0;
         digestVersion[1 - g] = 0 }
     /* Orders. */
-    :: atomic { MAYORDER(g) && !orderFlying[g] -> orderFlying[g] = true; orderFence[g] = fence[g]; orderSentAt[g] = now }
-    /* A start under the same id: nothing is known of before. */
-    :: atomic { g == 0 && RESTARTS == 1 && !hasRestarted && !digestFlying[g] ->
+    :: atomic { MAY_ORDER(g) && !orderInFlight[g] -> orderInFlight[g] = true; orderFence[g] = fence[g]; orderSentAt[g] = now }
+    /* A restart under the same id, without memory. */
+    :: atomic { g == 0 && RESTARTS == 1 && !hasRestarted && !digestInFlight[g] ->
         hasRestarted = true;
         incarnation[g]++;
         holds[g] = false;
-        known[g] = 0;
-        seenSince[g] = 0;
+        knownVersion[g] = 0;
+        versionSeenAt[g] = 0;
         renewedAt[g] = 0;
-        heardAt[g] = now;
+        digestReceivedAt[g] = now;
         startedAt[g] = now;
-        /* The last order of before may still be on its way beside the next one. */
+        /* The last order of the former incarnation may still be in flight beside the next one. */
         if
-        :: orderFlying[g] && !orderFlying[1 - g] ->
-            orderFlying[1 - g] = true;
+        :: orderInFlight[g] && !orderInFlight[1 - g] ->
+            orderInFlight[1 - g] = true;
             orderFence[1 - g] = orderFence[g];
             orderSentAt[1 - g] = orderSentAt[g];
-            orderFlying[g] = false;
+            orderInFlight[g] = false;
             orderFence[g] = 0;
             orderSentAt[g] = 0
         :: else
         fi;
         mustRead[g] = true;
-        underWay[g] = false;
+        writePending[g] = false;
         answered[g] = false }
     od
 }
@@ -240,15 +247,15 @@
     byte g;
     do
     :: now >= END -> break
-    :: atomic { writes[0].flying || writes[1].flying ->
+    :: atomic { writes[0].isInFlight || writes[1].isInFlight ->
         if
-        :: writes[0].flying -> g = 0
-        :: writes[1].flying -> g = 1
+        :: writes[0].isInFlight -> g = 0
+        :: writes[1].isInFlight -> g = 1
         fi;
-        writes[g].flying = false;
+        writes[g].isInFlight = false;
         acceptedVersion[g] = 0;
         if
-        :: true -> /* takes effect, if it may */
+        :: true -> /* takes effect if its condition holds */
             if
 #ifdef NO_CAS
             :: true ->
@@ -265,7 +272,7 @@
 #endif
             fi;
             if
-            :: underWay[g] && writes[g].number == lastNumber[g] && writes[g].name == NAME(g) -> answered[g] = true
+            :: writePending[g] && writes[g].number == lastNumber[g] && writes[g].name == NAME(g) -> answered[g] = true
             :: true /* the answer is lost */
             fi
         :: true /* never arrives */
@@ -280,12 +287,12 @@
     byte g;
     do
     :: now >= END -> break
-    :: atomic { orderFlying[0] || orderFlying[1] ->
+    :: atomic { orderInFlight[0] || orderInFlight[1] ->
         if
-        :: orderFlying[0] -> g = 0
-        :: orderFlying[1] -> g = 1
+        :: orderInFlight[0] -> g = 0
+        :: orderInFlight[1] -> g = 1
         fi;
-        orderFlying[g] = false;
+        orderInFlight[g] = false;
         assert(orderFence[g] >= highestArrived);
         highestArrived = orderFence[g];
         orderFence[g] = 0;
@@ -293,11 +300,11 @@
     od
 }
 
-/* Time goes on whatever the gateways do, but not past the moment by which an order has arrived. */
+/* Time goes on whatever the gateways do, but not beyond the latest arrival of an order in flight. */
 proctype Clock() {
     do
     :: now >= END -> break
-    :: atomic { now < END && !(orderFlying[0] && now >= orderSentAt[0] + ARRIVAL) && !(orderFlying[1] && now >= orderSentAt[1] + ARRIVAL) -> now++ }
+    :: atomic { now < END && !(orderInFlight[0] && now >= orderSentAt[0] + ARRIVAL) && !(orderInFlight[1] && now >= orderSentAt[1] + ARRIVAL) -> now++ }
     od
 }
 
@@ -306,7 +313,7 @@
         mustRead[1] = true;
         holds[0] = true;
         fence[0] = 1;
-        known[0] = 1;
+        knownVersion[0] = 1;
         lastNumber[0] = 1;
         digestsLeft[0] = DIGESTS;
         writesLeft[0] = WRITES;
--- a/model/runonce.pml
+++ b/model/runonce.pml
@@ -1,11 +1,11 @@
 /* Requests that must run at most once: claim rows written before the request is forwarded (src/core/runonce.h).
  *
- * One key, SENDS sends of it, each handled by a claimant of its own: another agent, or the same one restarted without memory.
+ * One key is sent SENDS times. Each send has its own claimant: another agent, or the same agent after a restart without memory.
  * The table loses requests, loses answers after the write took effect, and lets a write take effect any time later. It has outages.
- * A claimant may be paused anywhere (that is what interleaving is) and may crash between any two steps.
+ * A claimant may be paused at any step (Spin's interleaving does that) and may crash between any two steps.
  *
- * Checked: the key runs at most once; "not run", told by a claimant that sent a claim, is told while nobody has run the key; an answer
- * from the record is one of a run; a released key stays free for later sends.
+ * Checked: the key runs at most once; a claimant that sent a claim tells "not run" only while the key hasn't run; an answer from the record
+ * belongs to a run; a claim of a send that has released the key never takes effect later.
  *
  * Mutants: NO_CLAIM, NO_PUT_IF_ABSENT, NO_ATTEMPT_ID, NO_UNKNOWN_AFTER_LOST, NO_UNKNOWN_END, NO_RELEASED_CAS, NO_RELEASE_IN_PLACE
  */
@@ -22,7 +22,7 @@
 #define CRASHES 1
 #endif
 #ifndef LATE
-#define LATE 2 /* writes on their way at once */
+#define LATE 2 /* late writes in flight at once */
 #endif
 
 mtype = { ABSENT, CLAIMED, DONE, RELEASED };
@@ -31,7 +31,7 @@
 mtype row = ABSENT;
 byte owner = 0;
 byte version = 0; /* of the row; 0 while it is absent */
-byte counter = 0; /* of the table: versions are never used again */
+byte counter = 0; /* last version given by the table; versions aren't reused */
 bool down = false;
 byte runs = 0;
 byte crashes = 0;
@@ -68,7 +68,7 @@
   fi
 }
 
-/* One write by `me`, and what it hears of it. */
+/* One write by `me`, and its result as `me` sees it. */
 inline write(kind, expect, result) {
   atomic {
     if
@@ -113,7 +113,7 @@
   :: result == CONFLICT -> goto check
   :: result == LOST -> lost = true; goto claim
   :: result == REFUSED && lost -> goto claim
-  :: result == REFUSED && !lost -> goto gone /* "not run": nothing was ever sent */
+  :: result == REFUSED && !lost -> goto gone /* "not run": no claim reached the table */
   fi;
 
 check:
@@ -177,18 +177,18 @@
   fi;
 
 giveUp:
-  /* "unknown": the claim may stand, be someone else's, or land later */
+  /* "unknown": the claim may have taken effect or do so later, or another send may hold the key */
 #ifdef NO_UNKNOWN_AFTER_LOST
   assert(runs == 0); /* told "not run" */
 #endif
   skip;
 
 gone:
-  /* Locals that no longer matter are cleared, so that fewer states differ. */
+  /* Clears unused locals, so that Spin stores fewer distinct states. */
   atomic { expect = 0; held = 0; tries = 0; lost = false; result = 0; seen = 0; seenOwner = 0 }
 }
 
-/* Late writes take effect, or never do. */
+/* Late writes take effect at any time, or never. */
 active proctype Network() {
   mtype ignored = 0;
 end:
