--- a/model/runonce.pml
+++ b/model/runonce.pml
@@ -113,7 +113,7 @@
   :: result == CONFLICT -> goto check
   :: result == LOST -> lost = true; goto claim
   :: result == REFUSED && lost -> goto claim
-  :: result == REFUSED && !lost -> goto gone /* "not run": no claim reached the table */
+  :: result == REFUSED && !lost -> goto gone /* "not run": no claim of this send can take effect */
   fi;
 
 check:
