--- a/src/core/cellkeeper.cpp
+++ b/src/core/cellkeeper.cpp
@@ -81,10 +81,10 @@
         m_avoidUntil[m_keeper] = now + m_options.avoidPeriod;
     }
     std::erase_if(m_avoidUntil, [&](const auto &avoided) { return now >= avoided.second; });
-    const auto mayKeep = [&](const CellMember &member) {
+    const auto canBeKeeper = [&](const CellMember &member) {
         return member.id == m_self || (live.contains(member.id) && !m_avoidUntil.contains(member.id));
     };
-    const auto found = std::find_if(m_ranked.begin(), m_ranked.end(), mayKeep);
+    const auto found = std::find_if(m_ranked.begin(), m_ranked.end(), canBeKeeper);
     const auto next = found == m_ranked.end() ? std::string() : found->id;
     if (next == m_keeper) {
         return false;
--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -126,7 +126,7 @@
     auto stallMillis(const TargetState &state, double prefill, Duration pauseGoal, TimePoint now) const -> double;
     auto slotWait(const TargetState &state, const PeerWork &peers, int slots, UrgencyBand band) const -> double;
     auto estimatePlain(const DispatchRequest &request, const TargetState &state, const PeerWork &peers, Estimate &estimate, TimePoint now) const -> void;
-    auto reportedFailures(const TargetId &id, const TargetState &state, TimePoint now) const -> double;
+    auto highestFailures(const TargetId &id, const TargetState &state, TimePoint now) const -> double;
     auto isEjected(const TargetId &id, const TargetState &state, TimePoint now) const -> bool;
     auto isEjectedHere(const TargetState &state, TimePoint now) const -> bool;
     auto observeCost(const Send &send, const TargetState &state, std::size_t bytes, TimePoint now) -> void;
@@ -243,7 +243,7 @@
 }
 
 /// The higher of the own failures and those reported by others: otherwise a target that answers with errors would cost every gateway some requests.
-auto Dispatcher::Private::reportedFailures(const TargetId &id, const TargetState &state, TimePoint now) const -> double
+auto Dispatcher::Private::highestFailures(const TargetId &id, const TargetState &state, TimePoint now) const -> double
 {
     return std::max(state.health.failures(now), peerLoads.worstFailures(id, now));
 }
@@ -364,7 +364,7 @@
 {
     std::vector<Estimate> healthy;
     for (const auto &estimate : estimates) {
-        if (!isEjected(estimate.target, *estimate.state, now) && reportedFailures(estimate.target, *estimate.state, now) <= options.failureThreshold) {
+        if (!isEjected(estimate.target, *estimate.state, now) && highestFailures(estimate.target, *estimate.state, now) <= options.failureThreshold) {
             healthy.push_back(estimate);
         }
     }
@@ -423,7 +423,7 @@
     }
     d->applyRankBonus(request, estimates);
     const auto rank = [&](const Estimate &estimate) {
-        const bool isFailing = d->reportedFailures(estimate.target, *estimate.state, now) > d->options.failureThreshold;
+        const bool isFailing = d->highestFailures(estimate.target, *estimate.state, now) > d->options.failureThreshold;
         return std::tuple(d->isEjected(estimate.target, *estimate.state, now), isFailing, estimate.cost);
     };
     choice.candidates = static_cast<int>(estimates.size());
--- a/src/core/retry.cpp
+++ b/src/core/retry.cpp
@@ -104,7 +104,7 @@
 
 auto shouldHedge(const RequestFacts &request, TimePoint sentAt, RetryBudget &budget, TimePoint now, const HedgeOptions &options) -> bool
 {
-    const bool isShort = request.expectedService.inMicros() > 0 && request.expectedService <= options.longestService;
+    const bool isShort = request.expectedService.inMicros() > 0 && request.expectedService <= options.maxServiceTime;
     if (!options.enabled || !request.idempotent || !isShort || request.attempts > 1) {
         return false;
     }
--- a/src/core/retry.h
+++ b/src/core/retry.h
@@ -88,7 +88,7 @@
 
 struct HedgeOptions {
     bool enabled = false; ///< enable it only if measurements of the deployment show a benefit
-    Duration longestService = Duration::millis(100); ///< only requests with an expected service time up to this are hedged
+    Duration maxServiceTime = Duration::millis(100); ///< only requests with an expected service time up to this are hedged
     double after = 3.0; ///< hedge after this many times the expected service time
 };
 
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -17,7 +17,7 @@
 
 constexpr int DefaultLimit = 16;
 constexpr auto DefaultServiceTime = Duration::millis(200);
-constexpr auto MaxEjection = Duration::seconds(30);
+constexpr auto MaxEjectionTime = Duration::seconds(30);
 constexpr double SlowdownPerRunningRequest = 0.02; ///< each running request slows down the others by about this share of a decode step
 constexpr double MinWeight = 0.05; ///< minimum for a target that isn't ejected, so that its state can be observed
 constexpr double StaleWeight = 0.3; ///< factor for a target whose report is older than RoutingOptions::staleAfter
@@ -186,13 +186,13 @@
     if (exceedsPrefillBacklog(state, priority, now)) {
         return 0;
     }
-    auto most = static_cast<double>(limit(state));
+    auto maxLoad = static_cast<double>(limit(state));
     if (priority == Priority::Batch) {
-        most *= options.batchShare;
+        maxLoad *= options.batchShare;
     } else if (priority == Priority::Interactive) {
-        most *= InteractiveHeadroom;
+        maxLoad *= InteractiveHeadroom;
     }
-    return static_cast<int>(std::max(most, 1.0)) - load(state);
+    return static_cast<int>(std::max(maxLoad, 1.0)) - load(state);
 }
 
 auto Router::Private::weight(const TargetState &state, TimePoint now) const -> double
@@ -233,12 +233,12 @@
 auto Router::Private::expected(const TargetState &state, Priority priority, TimePoint now) const -> Duration
 {
     const int inSystem = load(state);
-    const int most = limit(state);
+    const int maxLoad = limit(state);
     const auto own = serviceTime(state, priority);
     const auto others = state.load && state.load->serviceTime.inMicros() > 0 ? state.load->serviceTime : own;
-    const auto running = own * (1.0 + SlowdownPerRunningRequest * std::min(inSystem, most));
-    const int ahead = std::max(0, inSystem + 1 - most);
-    const auto waiting = others * (static_cast<double>(ahead) / most);
+    const auto running = own * (1.0 + SlowdownPerRunningRequest * std::min(inSystem, maxLoad));
+    const int ahead = std::max(0, inSystem + 1 - maxLoad);
+    const auto waiting = others * (static_cast<double>(ahead) / maxLoad);
     const auto zonePenalty = state.zone == options.zone ? Duration() : options.otherZonePenalty;
     // An engine prefills prompts one after another. A short request behind a prompt of 4000 tokens gets its first token a second later even if
     // the target runs few requests, so the number of requests alone isn't enough.
@@ -252,7 +252,7 @@
     std::size_t holding = 0;
     std::size_t notExcluded = 0;
     std::size_t withCapacity = 0;
-    Duration soonest = MaxEjection;
+    Duration soonest = MaxEjectionTime;
     for (auto &[id, state] : targets) {
         if (!isEligible(state, request.service, request.artifacts, now)) {
             continue;
@@ -569,7 +569,7 @@
     }
     ++health.failures;
     if (health.failures >= d->options.failuresToEject) {
-        const auto pause = std::min(d->options.firstEjection * std::pow(2.0, health.ejections), MaxEjection);
+        const auto pause = std::min(d->options.firstEjection * std::pow(2.0, health.ejections), MaxEjectionTime);
         health.ejectedUntil = now + pause;
         health.slowStartAt = health.ejectedUntil;
         health.isSlowStarting = true;
--- a/src/core/targethealth.cpp
+++ b/src/core/targethealth.cpp
@@ -76,7 +76,7 @@
     if (now < m_ejectedUntil) {
         return; // that request was sent before the ejection
     }
-    m_ejectedUntil = now + std::min(m_options.firstEjection * std::exp2(m_ejections), m_options.longestEjection);
+    m_ejectedUntil = now + std::min(m_options.firstEjection * std::exp2(m_ejections), m_options.maxEjectionTime);
     ++m_ejections;
 }
 
--- a/src/core/targethealth.h
+++ b/src/core/targethealth.h
@@ -13,7 +13,7 @@
 struct TargetHealthOptions {
     Duration failureHalfLife = Duration::seconds(2);
     Duration firstEjection = Duration::millis(1000); ///< the first time in a row
-    Duration longestEjection = Duration::millis(4000); ///< ejections double up to this; a crashed target is back within a few seconds
+    Duration maxEjectionTime = Duration::millis(4000); ///< ejections double up to this; a crashed target is back within a few seconds
 };
 
 class TargetHealth
