--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -1,8 +1,8 @@
-// Admission queue: requests that wait for capacity at a target, ordered so that as many as possible meet their deadlines.
+// Admission queue: requests that wait for capacity at a target, ordered so that as many as possible meet their deadlines. No I/O.
 //
 // Priority classes are served in strict order. Within a class, services share by weight (fair queuing), and within a service the request
-// with the earliest latest start (deadline minus service time) goes first. A request that would miss its deadline behind those ahead of it
-// is refused at once, while its caller can still try elsewhere. The queue is bounded in total and per service.
+// with the earliest latest start (deadline minus service time) goes first. A request that would miss its deadline behind the requests ahead of it
+// is refused at once, while its caller still has time to try elsewhere. The queue is bounded in total and per service.
 //
 // A lane is a set of requests that compete for the same targets: those with the same artifacts, or for the same plain service.
 //
@@ -44,7 +44,7 @@
 
 enum class AdmissionRefusal {
     None,
-    TooLate, ///< would miss its deadline behind those ahead of it
+    TooLate, ///< would miss its deadline behind the requests ahead of it
     QueueFull,
 };
 auto toString(AdmissionRefusal refusal) -> const char *;
@@ -63,7 +63,7 @@
 struct AdmissionOptions {
     std::size_t maxWaiting = 4096; ///< requests in the whole queue
     double maxServiceShare = 0.5; ///< share of `maxWaiting` that one service may fill
-    Duration rateWindow = Duration::seconds(2); ///< over which the start rate of a lane is measured
+    Duration rateWindow = Duration::seconds(2); ///< window over which the start rate of a lane is measured
 };
 
 // [SECTION] AdmissionQueue
@@ -78,7 +78,7 @@
 
     // Queries
     auto size() const -> std::size_t;
-    auto waiting(const LaneName &lane) const -> std::size_t; ///< of all classes
+    auto waiting(const LaneName &lane) const -> std::size_t; ///< requests of all classes in that lane
     auto isWaiting(const RequestId &request) const -> bool;
     /// Expected wait of one more request of that class; 0: unknown, or no request is ahead of it.
     auto expectedWait(const LaneName &lane, Priority priority, TimePoint now) const -> Duration;
@@ -90,7 +90,7 @@
     auto next(TimePoint now, const HasCapacity &hasCapacity) -> std::optional<RequestId>;
     /// Removes and returns the requests that can't meet their deadline any more; they were certainly not run.
     auto expire(TimePoint now) -> std::vector<RequestId>;
-    auto remove(const RequestId &request) -> void; ///< the caller left
+    auto remove(const RequestId &request) -> void; ///< the caller has disconnected
     /// Sets the weight of a service in fair queuing; 1 by default.
     auto setShare(const ServiceName &service, double share) -> void;
 
@@ -110,7 +110,7 @@
     };
     struct ClassQueue {
         std::map<ServiceName, ServiceQueue> services;
-        double virtualTime = 0; ///< of the service that was served last, when its request started
+        double virtualTime = 0; ///< virtual time of the service that was served last, before that request was charged
     };
     auto dequeue(const WaitingRequest &request) -> void;
     auto share(const ServiceName &service) const -> double;
--- a/src/core/cellkeeper.cpp
+++ b/src/core/cellkeeper.cpp
@@ -19,7 +19,7 @@
     return m_keeper;
 }
 
-/// Hosts with a larger processor share first; ties in an order that is the same at all gateways.
+/// Gateways with more reserved processor cores rank first. Ties are broken by a hash of the id, which is the same at all gateways.
 auto CellKeeper::isBefore(const CellMember &a, const CellMember &b) const -> bool
 {
     const auto rank = [](const CellMember &member) {
--- a/src/core/cellkeeper.h
+++ b/src/core/cellkeeper.h
@@ -1,7 +1,8 @@
-// Chooses the keeper, the gateway that aggregates the load reports of a cell, and the relay in each other availability zone. No I/O.
+// Chooses the keeper of a cell (the gateway that aggregates the cell's load reports) and one relay in each other availability zone. No I/O.
 //
-// No consensus is needed: all gateways compute the same ranking and each one reports to the first in it, and nothing depends on there being only one keeper.
-// A gateway that has received no sum for `keeperTimeout` reports to the next one in the ranking, and returns to the first after `avoidPeriod`.
+// No consensus is needed: all gateways compute the same ranking, each one reports to the first gateway in it that it can reach, and nothing depends on there
+// being only one keeper. A gateway that has received no sum for `keeperTimeout` reports to the next gateway in the ranking, and may choose the previous keeper
+// again after `avoidPeriod`.
 //
 // Index of sections (search for [SECTION]):
 //   Members      the candidates
@@ -28,7 +29,7 @@
 };
 
 struct CellKeeperOptions {
-    Duration keeperTimeout = Duration::millis(700); ///< without a sum from the keeper until the next one is chosen: 14 publishing periods
+    Duration keeperTimeout = Duration::millis(700); ///< a keeper that has sent no sum for this long is replaced: 14 publishing periods
     Duration avoidPeriod = Duration::seconds(3); ///< a keeper that timed out isn't chosen again for this long
 };
 
@@ -41,8 +42,8 @@
 
     // Queries
     auto keeper() const -> const std::string &; ///< as last chosen; empty: no gateway is known
-    // A sum is sent to the zone mates and to the relays. `alive`: gateways known to be reachable.
-    /// One gateway in each other zone, which forwards sums to its own zone.
+    // The keeper sends its sums to the gateways in its own zone and to the relays. `alive`: the gateways that may be chosen.
+    /// One gateway in each other zone, which forwards the sums to its own zone.
     auto relays(const std::set<std::string> &alive) const -> std::set<std::string>;
     /// The other gateways in this gateway's zone.
     auto zoneMates(const std::set<std::string> &alive) const -> std::set<std::string>;
--- a/src/core/cellload.cpp
+++ b/src/core/cellload.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-/// Limits the own reports that wait for a sum to include them. A keeper that sends no sum for that long has been replaced, and a new keeper's sums include
-/// only newer reports.
+/// Limits the own reports that wait for a sum to include them. A keeper that sends no sum while this many reports are sent has been replaced, and the sums of
+/// a new keeper include only newer reports.
 constexpr std::size_t MaxOwnReports = 64;
-/// Failures are sent in whole percents, so a received value can differ from the own one by this much.
+/// Failures are sent in whole percents, so the value in a sum can differ from the gateway's own value by this much.
 constexpr double FailureTolerance = 0.011;
 
 } // namespace
--- a/src/core/cellload.h
+++ b/src/core/cellload.h
@@ -1,7 +1,7 @@
 // The load of a cell: the requests that all its gateways have in flight at its targets. No I/O.
 //
 // One gateway, the keeper, aggregates: the others report to it, and it publishes the sum. If every gateway reported to every other one, the number of reports
-// would grow with the square of the gateways: hundreds of them on small hosts would spend more processor time on reports than on requests.
+// would grow with the square of the number of gateways: hundreds of gateways on small hosts would spend more processor time on reports than on requests.
 //
 // The sum holds no state that can't be rebuilt: a new keeper has received all reports after one reporting period.
 //
@@ -33,18 +33,18 @@
 };
 
 struct CellTargetLoad {
-    TargetWork sum; ///< of all gateways; failures: the highest of any gateway
-    double nextFailures = 0; ///< the second highest failures of any gateway
+    TargetWork sum; ///< over all gateways; its `failures` is the highest value of any gateway
+    double nextFailures = 0; ///< the second highest `failures` of any gateway: the gateway with the highest value needs that of the others
     int ejections = 0; ///< gateways that have ejected the target
 };
 
 struct CellLoad {
-    EntryId keeper; ///< one incarnation of it
+    EntryId keeper; ///< incarnation of the keeper that published this sum
     std::uint64_t sequence = 0; ///< increases with each sum of this keeper
     std::vector<CellTargetLoad> targets;
-    std::vector<SentPrefill> prefill; ///< reported since the last sum
-    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< prompt parts reported as prefilled since the last sum
-    std::map<EntryId, std::uint64_t> reported; ///< by gateway, the sequence of its last report that is included
+    std::vector<SentPrefill> prefill; ///< reported to the keeper since its last sum
+    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< prompt parts reported to the keeper as prefilled since its last sum
+    std::map<EntryId, std::uint64_t> reported; ///< by gateway, the sequence of its report that this sum includes
 };
 
 // [SECTION] CellLoadSum
@@ -62,7 +62,7 @@
     // Commands
     /// A report that isn't newer than the last one of its gateway is ignored.
     auto merge(const GatewayLoad &report, TimePoint now) -> void;
-    /// The next sum. Also resets what was reported since the last one.
+    /// Returns the next sum, and resets the prefill and prompt parts that were reported since the last one.
     auto take(TimePoint now) -> CellLoad;
 
 private:
@@ -83,6 +83,7 @@
 
 // [SECTION] OwnReports
 
+/// Keeps a gateway's own reports, to subtract them from the sums that include them.
 class OwnReports
 {
 public:
@@ -101,7 +102,7 @@
     };
 
     EntryId m_self;
-    std::deque<Report> m_reports; ///< oldest first; the first is the one that the last sum included
+    std::deque<Report> m_reports; ///< oldest first; older ones than the report that the last sum included are dropped
     std::uint64_t m_lastIncluded = 0; ///< sequence of the latest report that a sum has included
 };
 
--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -58,9 +58,9 @@
     TargetDescription description;
     PromptCache cache;
     int running = 0; ///< own sends that haven't ended
-    std::int64_t tokens = 0; ///< KV memory that those may take
+    std::int64_t tokens = 0; ///< KV memory that own sends may take
     PrefillQueue prefillQueue; ///< own sends without a first token
-    RecentPrefill recent; ///< sent by all gateways, as far as they have reported it
+    RecentPrefill recent; ///< sent by this gateway, and by others as far as they have reported it
     TargetHealth health;
 };
 
@@ -70,7 +70,7 @@
     TargetIncarnation incarnation;
     std::string model;
     TimePoint at;
-    TimePoint firstAt; ///< of its first token; only if hasFirst
+    TimePoint firstAt; ///< arrival of its first token; set only if hasFirst
     Duration expectedFirst;
     Duration backlog;
     double prefillMillis = 0; ///< expected for the uncached part of its prompt
@@ -106,7 +106,7 @@
     PeerLoads peerLoads;
     PrefillPace pace;
     std::map<ServiceName, double> plainServiceMillis;
-    std::map<TargetId, double> newPrefill; ///< milliseconds sent, not reported yet
+    std::map<TargetId, double> newPrefill; ///< milliseconds of prefill sent and not reported to other gateways yet
     RequestCost requestCost;
     std::vector<std::pair<TargetId, PromptChain>> newlyPrefilled;
     std::uint64_t digests = 0;
@@ -230,19 +230,21 @@
     }
 }
 
-/// Ejected by this gateway: until the ejection is over, and after that while the probe request is in flight.
+/// True until this gateway's ejection of the target is over, and after that while the probe request is in flight.
 auto Dispatcher::Private::isEjectedHere(const TargetState &state, TimePoint now) const -> bool
 {
     return state.health.isEjected(now) || (state.health.needsProbe() && sends.contains(state.health.probe().value()));
 }
 
-/// An ejection reported by another gateway counts until a later success here: otherwise each of many gateways would lose some requests to detect the failure.
+/// True if this gateway has ejected the target, or another one has reported it as ejected since this gateway's last success there. Without the reports, each of
+/// many gateways would lose some requests before it detects the failure.
 auto Dispatcher::Private::isEjected(const TargetId &id, const TargetState &state, TimePoint now) const -> bool
 {
     return isEjectedHere(state, now) || peerLoads.isEjected(id, state.health.succeededAt(), now);
 }
 
-/// The higher of the own failures and those reported by others: otherwise a target that answers with errors would cost every gateway some requests.
+/// The highest recent share of failures at this gateway or reported by another one. Without the reports, a target that answers with errors would cost every
+/// gateway some requests.
 auto Dispatcher::Private::highestFailures(const TargetId &id, const TargetState &state, TimePoint now) const -> double
 {
     return std::max(state.health.failures(now), peerLoads.worstFailures(id, now));
@@ -250,7 +252,7 @@
 
 // [SECTION] Choosing
 
-/// Milliseconds until a slot in the runner's batch is free for a request of that band: streams end one after another, and waiting requests that are at least
+/// Milliseconds until a slot in the runner's batch is free for a request of that band. Streams end one after another, and waiting requests that are at least
 /// as urgent go first.
 auto Dispatcher::Private::slotWait(const TargetState &state, const PeerWork &peers, int slots, UrgencyBand band) const -> double
 {
@@ -263,7 +265,7 @@
     return std::max(lacking, 0.0) * requestCost.slotSeconds() * MillisPerSecond;
 }
 
-/// Milliseconds of prefill that exceed what the runner's streams allow between two events.
+/// Milliseconds by which recent prefill and `prefill` together exceed the share of the pause goal that prefill may take between two events of a stream.
 auto Dispatcher::Private::stallMillis(const TargetState &state, double prefill, Duration pauseGoal, TimePoint now) const -> double
 {
     return std::max(state.recent.within(pauseGoal, now) + prefill - toMillis(pauseGoal) * options.prefillShare, 0.0);
@@ -309,7 +311,7 @@
     // Requests that other gateways had in flight when they reported have been ending since then.
     const double before = state.running + peers.running * std::exp(-peers.ageMillis / std::max(time, 1.0));
     const double wait = std::max(before + 1 - slots, 0.0) / slots * time;
-    constexpr double LoadShare = 0.25; // of the service time: a target with more free slots is slightly faster
+    constexpr double LoadShare = 0.25; // added to the cost of a full target, as a share of the service time: a target with more free slots is slightly faster
     estimate.backlog = fromMillis(wait);
     estimate.first = fromMillis(wait + time);
     estimate.cost = wait + time * (1 + LoadShare * before / slots);
@@ -591,7 +593,7 @@
     for (const auto &[id, state] : d->targets) {
         const double failures = state.health.failures(now);
         constexpr double MinReportedFailures = 0.05;
-        // Reported for a while after the ejection is over: the gateway that detected the failure also sends the probe.
+        // The ejection is reported for one digest lifetime longer, so that the gateway that detected the failure sends the probe before others send requests.
         const bool isEjected = d->isEjectedHere(state, now) || state.health.wasEjected(now, d->options.digestLifetime);
         if (state.running > 0 || failures > MinReportedFailures || isEjected) {
             TargetWork work {id, state.running, {}, state.tokens, failures, isEjected};
--- a/src/core/dispatch.h
+++ b/src/core/dispatch.h
@@ -7,7 +7,8 @@
 // they don't show (a runner that is faster or slower than expected, failures) is learnt from the answers.
 //
 // Requests with a common prefix go to a runner that has it cached, unless another runner would deliver the first token sooner in spite of prefilling it again.
-// If no runner has it cached, all gateways rank the runners in the same way, so that they choose the same one.
+// For a prefix that isn't known to be cached, the runner that ranks first by rendezvous hashing of the prefix gets a bonus. The ranking is the same at all
+// gateways, so they tend to choose the same runner.
 //
 // Index of sections (search for [SECTION]):
 //   Requests    the input of a choice
@@ -56,8 +57,8 @@
 enum class DispatchRefusal {
     None,
     NoTarget, ///< no target of the service is known, or all are leaving
-    NotHeld, ///< no runner of the service holds the model
-    AdapterMissing, ///< runners hold the model, but none that may take the request has the adapter loaded
+    NotHeld, ///< no runner of the service has a replica of the model
+    AdapterMissing, ///< runners have a replica of the model, but none that may take the request has the adapter loaded
     AllExcluded, ///< every target that could take the request is excluded
 };
 auto toString(DispatchRefusal refusal) -> const char *;
@@ -66,9 +67,9 @@
     TargetId target; ///< empty if refused
     DispatchRefusal refusal = DispatchRefusal::None;
     Endpoint address;
-    Duration expectedFirst; ///< until the first token, or until a plain service's answer
-    Duration expectedIfPatient; ///< the same if the request goes behind everything else at the target
-    Duration backlog; ///< part of expectedFirst: the wait for other requests
+    Duration expectedFirst; ///< expected time until the first token, or until a plain service's answer
+    Duration expectedIfPatient; ///< expectedFirst if the request were of the least urgent band and waited for all others at the target
+    Duration backlog; ///< part of expectedFirst that is spent waiting for other requests
     int prefillTokens = 0; ///< uncached tokens of the prompt
     int candidates = 0; ///< targets that could take the request
     bool isLastResort = false; ///< the target is ejected, and so is every other one that could take the request
@@ -77,7 +78,7 @@
 /// How a send ended, for the health of its target.
 enum class SendResult {
     Delivered,
-    Rejected, ///< not run: the target is full or leaving. Doesn't affect its health
+    Rejected, ///< not run: the target is full or leaving. Doesn't affect the target's health
     Failed, ///< the answer was cut off, or the target returned an error
     NoAnswer, ///< the connection broke, or sent data wasn't acknowledged, before any answer: ejects the target
     Cancelled, ///< by the client. Doesn't affect the target's health
@@ -87,24 +88,24 @@
 
 struct DispatchOptions {
     ZoneName zone; ///< this process's own
-    Duration otherZonePenalty = Duration::millis(4); ///< cost of targets in other zones: the round trip, and the price of traffic between zones
+    Duration otherZonePenalty = Duration::millis(4); ///< added to the cost of targets in other zones: the round trip, and the price of traffic between zones
     std::function<bool(const Endpoint &address)> isConnected; ///< whether an idle connection can be reused; null: unknown
-    /// Cost of targets without such a connection: some round trips, and one of the few hundred connections that a target accepts.
+    /// Added to the cost of targets without a reusable connection: some round trips, and one of the few hundred connections that a target accepts.
     Duration newConnectionPenalty = Duration::millis(5);
     PrefillPaceOptions pace;
-    Duration plainServiceTime = Duration::millis(60); ///< service time of a plain service, before the first observation
+    Duration plainServiceTime = Duration::millis(60); ///< estimated service time of a plain service before the first observation
     /// While a prompt of this length is prefilled, half a second passes between two events of every stream of the runner, so a prompt as long as this or longer
     /// should go to a runner with few streams.
     int longPromptTokens = 18000;
-    Duration stallPenaltyPerStream = Duration::millis(60); ///< cost of such a prompt for each stream that it would stall
-    double prefillShare = 0.5; ///< share of the pause goal that prefill may take: the rest is needed for the decode steps of the streams
+    Duration stallPenaltyPerStream = Duration::millis(60); ///< added to the cost of a long prompt for each stream that it would stall
+    double prefillShare = 0.5; ///< share of the pause goal that prefill may take; the rest is needed for the decode steps of the streams
     int plainChoices = 2; ///< plain services: number of targets, drawn at random, that are compared for each request
-    std::uint64_t seed = 0; ///< of that draw; a different one at each gateway
+    std::uint64_t seed = 0; ///< of the random draw for `plainChoices`; different at each gateway
     double learnRate = 0.1; ///< weight of one observation in the mean service time of a plain service
-    double unreportedHitProbability = 0.4; ///< that the runner which ranks first for a prefix has it cached though that isn't known
+    double unreportedHitProbability = 0.4; ///< probability that the runner which ranks first for a prefix has cached it without this being known here
     TargetHealthOptions health;
     double failureThreshold = 0.5; ///< a target with a larger recent share of failures gets requests only if no other can take them
-    Duration digestLifetime = Duration::seconds(2); ///< an older digest no longer counts
+    Duration digestLifetime = Duration::seconds(2); ///< digests older than this are ignored
 };
 
 // [SECTION] Dispatcher
@@ -122,13 +123,15 @@
     auto description(const TargetId &target) const -> const TargetDescription *; ///< null: not known
     auto running(const TargetId &target, TimePoint now) const -> int; ///< requests in flight, of all gateways
     auto ownRunning(const TargetId &target, const std::string &model) const -> int; ///< this gateway's requests in flight for one model
-    auto failures(const TargetId &target, TimePoint now) const -> double; ///< recent share at this gateway, 0 (none) to 1 (all)
+    auto failures(const TargetId &target, TimePoint now) const -> double; ///< recent share of failed sends at this gateway, 0 (none) to 1 (all)
     auto isEjected(const TargetId &target, TimePoint now) const -> bool; ///< by this gateway, or as reported by another one
+    /// The target with the lowest estimated cost; ejected and failing targets only if no other can take the request.
     auto choose(const DispatchRequest &request, TimePoint now) const -> DispatchChoice;
-    /// Expected prefill time of a send that hasn't ended, if nothing else is prefilled. Excludes the part of the prompt that was cached when it was sent.
+    /// Expected prefill time of a send that hasn't ended, if nothing else is prefilled. Excludes the part of the prompt that was cached at the time of the
+    /// send.
     auto prefillTime(SendId send) const -> Duration;
 
-    auto loadTime(const ServiceName &service, const std::string &model) const -> Duration; ///< of a replica from the weight store; 0: not declared
+    auto loadTime(const ServiceName &service, const std::string &model) const -> Duration; ///< time to load a replica from the weight store; 0: not declared
     auto requestCost() const -> const RequestCost &; ///< runner time per request, by model
 
     // Commands: engines and targets
@@ -152,7 +155,8 @@
     auto takeDigest(const EntryId &self, TimePoint now) -> WorkDigest;
     auto merge(const WorkDigest &digest, TimePoint now) -> void;
     auto gatewayGone(const EntryId &entry) -> void;
-    /// Prefill sent since the last call; resets it. Digests are too infrequent for this: prompts that stall streams together arrive within a few engine steps.
+    /// Returns and resets the prefill sent since the last call. Digests are too infrequent for this: prompts that stall streams together arrive within a few
+    /// engine steps.
     auto takeSentPrefill() -> std::vector<SentPrefill>;
     auto merge(const std::vector<SentPrefill> &sent, TimePoint now) -> void;
 
--- a/src/core/loadmeter.cpp
+++ b/src/core/loadmeter.cpp
@@ -20,7 +20,7 @@
         return std::numeric_limits<int>::max();
     }
     const auto recent = std::count_if(m_recentLoads.begin(), m_recentLoads.end(), [&](TimePoint at) { return now - at < m_window; });
-    // A new holder doesn't know the loads that its predecessor started in this window, so only its own part of the window counts.
+    // A new lease holder doesn't know the loads that its predecessor started in this window, so its allowance covers only the time since it became the holder.
     const double known = std::min((now - m_startedAt).inSeconds() / m_window.inSeconds(), 1.0);
     const double allowed = m_perSecond * m_window.inSeconds() * m_overshoot * known;
     return std::max(static_cast<int>(std::floor(allowed)) - static_cast<int>(recent), 0);
--- a/src/core/loadmeter.h
+++ b/src/core/loadmeter.h
@@ -26,7 +26,7 @@
     Duration m_window = Duration::seconds(5);
     double m_overshoot = 1;
     std::vector<TimePoint> m_recentLoads;
-    TimePoint m_startedAt;
+    TimePoint m_startedAt; ///< when this process became the lease holder
 };
 
 } // namespace KingCup
--- a/src/core/peerloads.cpp
+++ b/src/core/peerloads.cpp
@@ -58,7 +58,7 @@
         age += toMillis(now - report.at);
         ++reports;
     }
-    // All reports are about one engine: since they arrived it has prefilled for the elapsed time once, not once per report.
+    // All reports concern the same engine, which has prefilled since they arrived. So their mean age is subtracted once from the sum, not once per report.
     sum.ageMillis = reports > 0 ? age / reports : 0;
     double left = sum.ageMillis;
     for (auto &pending : sum.pendingPrefill) {
--- a/src/core/peerloads.h
+++ b/src/core/peerloads.h
@@ -29,9 +29,9 @@
     TargetId target;
     int running = 0; ///< sends that haven't ended
     std::array<Duration, UrgencyBandCount> pendingPrefill; ///< by band, as the gateway estimates it
-    std::int64_t tokens = 0; ///< KV memory that its running requests may take
-    double failures = 0; ///< recent share, 0 (none) to 1 (all)
-    bool isEjected = false; ///< requests get no answer from it
+    std::int64_t tokens = 0; ///< KV memory that the gateway's running requests may take
+    double failures = 0; ///< recent share of failed sends, 0 (none) to 1 (all)
+    bool isEjected = false; ///< the gateway has ejected the target, because requests got no answer from it
 };
 
 /// Prefill that one gateway has sent to a target since its last report.
@@ -44,7 +44,7 @@
     EntryId entry; ///< one incarnation of a gateway: "ID#INCARNATION", or the id only
     std::uint64_t sequence = 0; ///< a digest that isn't newer than the last one is ignored
     std::vector<TargetWork> work;
-    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< prompt parts that targets prefilled for its sends since the last digest
+    std::vector<std::pair<TargetId, PromptChain>> prefilled; ///< prompt parts of the gateway's sends since its last digest, by the target that prefills them
 };
 
 // [SECTION] PeerLoads
@@ -66,14 +66,14 @@
     auto size() const -> std::size_t; ///< reports kept, including expired ones
     auto hasFresh(TimePoint now) const -> bool; ///< any report that hasn't expired
     auto work(const TargetId &target, TimePoint now) const -> PeerWork;
-    auto worstFailures(const TargetId &target, TimePoint now) const -> double; ///< 0 without a report
+    auto worstFailures(const TargetId &target, TimePoint now) const -> double; ///< highest reported share of failures; 0 without a report
     /// Another gateway has reported the target as ejected after `since`.
     auto isEjected(const TargetId &target, TimePoint since, TimePoint now) const -> bool;
 
     // Commands
     /// False if the digest isn't newer than the last one of that gateway.
     auto merge(const WorkDigest &digest, TimePoint now) -> bool;
-    /// Drops the reports of all incarnations of that gateway; `entry` may also name a single incarnation.
+    /// Drops the reports of all incarnations of that gateway. If `entry` names one incarnation ("ID#INCARNATION"), drops only the report of that one.
     auto gatewayGone(const EntryId &entry) -> void;
 
 private:
--- a/src/core/placementmodel.cpp
+++ b/src/core/placementmodel.cpp
@@ -70,7 +70,7 @@
     return one.declared->size + (needsBase ? m_artifacts[one.base].declared->size : Bytes());
 }
 
-auto PlacementModel::movesOn(RunnerIndex runner, ArtifactIndex artifact) const -> int
+auto PlacementModel::loadsNeededOn(RunnerIndex runner, ArtifactIndex artifact) const -> int
 {
     const auto base = m_artifacts[artifact].base;
     return base != NoIndex && !isOn(runner, base) ? 2 : 1;
--- a/src/core/placementmodel.h
+++ b/src/core/placementmodel.h
@@ -68,7 +68,7 @@
     auto isResident(RunnerIndex runner, ArtifactIndex artifact) const -> bool;
     /// Memory that a new copy takes on a runner, and the number of loads it takes: including the base of an adapter if that isn't there.
     auto sizeOn(RunnerIndex runner, ArtifactIndex artifact) const -> Bytes;
-    auto movesOn(RunnerIndex runner, ArtifactIndex artifact) const -> int;
+    auto loadsNeededOn(RunnerIndex runner, ArtifactIndex artifact) const -> int;
     /// Requests per second that are expected to be late: all if there is no copy, else those beyond PlacementOptions::fullShare of the runners'
     /// capacity, and at least as many as are missed now.
     auto lostPerSecond(ArtifactIndex artifact) const -> double;
--- a/src/core/prefillpace.cpp
+++ b/src/core/prefillpace.cpp
@@ -11,8 +11,8 @@
 constexpr double MillisPerSecond = 1000;
 constexpr int MinTokensForRate = 400; // for shorter prompts, the first step takes longer than prefill
 constexpr int MaxTokensForStep = 200; // for shorter prompts, prefill is negligible
-constexpr double MinPerToken = 0.002;
-constexpr double MaxPerToken = 0.2;
+constexpr double MinPerToken = 0.002; // milliseconds
+constexpr double MaxPerToken = 0.2; // milliseconds
 constexpr double WeightIfBelow = 0.2;
 constexpr double WeightIfAbove = 0.01;
 constexpr double MinStep = 2; // milliseconds: a round trip within a region
--- a/src/core/prefillqueue.cpp
+++ b/src/core/prefillqueue.cpp
@@ -11,7 +11,7 @@
     return std::accumulate(pending.begin(), pending.begin() + static_cast<int>(band) + 1, 0.0);
 }
 
-/// Prefill that takes longer than expected isn't finished: a tenth of the estimate stays until the first token arrives.
+/// Milliseconds of prefill that remain. Prefill can take longer than estimated, so at least a tenth of the estimate remains until the first token arrives.
 auto PrefillQueue::PendingPrompt::left(TimePoint now) const -> double
 {
     constexpr double MinShare = 0.1;
--- a/src/core/prefillqueue.h
+++ b/src/core/prefillqueue.h
@@ -27,12 +27,14 @@
     // Queries
     /// Pending prefill; the prompt in prefill counts towards the most urgent band.
     auto byBand(TimePoint now) const -> BandMillis;
-    auto waiting(UrgencyBand band) const -> int; ///< sends without a first token, in `band` and all more urgent bands
+    auto waiting(UrgencyBand band) const -> int; ///< sends without a first token (including the prompt in prefill), in `band` and all more urgent bands
 
     // Commands
-    /// `millis`: prefill time if nothing else is prefilled. `othersIdle`: no other gateway is known to have a prompt in prefill or waiting at the target.
+    /// `millis`: prefill time if nothing else is prefilled. `othersIdle`: no other gateway is known to have a prompt in prefill or waiting at the target. If
+    /// so, and no prompt of this gateway is pending there, the prompt counts as in prefill at once.
     auto add(SendId send, UrgencyBand band, double millis, bool othersIdle, TimePoint now) -> void;
-    /// The prompt is prefilled or cancelled. The next one by urgency, then by age, counts as in prefill.
+    /// The prompt has been prefilled, or its request was cancelled. If no other prompt is in prefill, the next one by urgency, then by age, counts as in
+    /// prefill.
     auto remove(SendId send, TimePoint now) -> void;
 
 private:
--- a/src/core/promptcache.h
+++ b/src/core/promptcache.h
@@ -1,4 +1,4 @@
-// Estimates which prompt prefixes an engine has in its KV cache, from this gateway's sends and the digests of other gateways. The engine
+// Estimates which prompt prefixes an engine has in its KV cache, from this gateway's sends and the digests of other gateways. No I/O. The engine
 // evicts the least recently used parts when its memory is full.
 //
 // A cached part is usable only if all parts before it are cached too, so a part is identified by a hash chained over all parts up to it.
@@ -26,16 +26,16 @@
 /// Identifies a part together with all parts before it, for one model and adapter.
 struct PromptChain {
     std::uint64_t hash = 0;
-    int tokens = 0; ///< of the last part only
+    int tokens = 0; ///< length of the last part only
 };
 
-/// The chains of a prompt, shortest first. `model` names model and adapter: the cache of one is of no use to another.
+/// The chains of a prompt, shortest first. `model` names model and adapter: cached state can't be shared between different ones.
 auto promptChains(const std::string &model, const std::vector<PromptPart> &parts) -> std::vector<PromptChain>;
 
 class PromptCache
 {
 public:
-    /// `capacity`: in tokens; the engine shares it with running requests.
+    /// `capacity`: of the engine's KV memory, in tokens; running requests use the same memory.
     explicit PromptCache(std::int64_t capacity = 0);
 
     auto cachedTokens(const std::vector<PromptChain> &chains) const -> int; ///< length of the longest cached prefix
@@ -44,7 +44,7 @@
     auto setCapacity(std::int64_t capacity) -> void;
     /// The engine prefills this prompt: all its parts become the most recently used.
     auto touch(const std::vector<PromptChain> &chains) -> void;
-    /// Another gateway reported that the engine has prefilled this part.
+    /// One part becomes the most recently used, because another gateway reported it as prefilled.
     auto touchOne(const PromptChain &chain) -> void;
     auto clear() -> void;
 
--- a/src/core/requestcost.h
+++ b/src/core/requestcost.h
@@ -3,10 +3,10 @@
 // Step times differ many times over between models, and so do their requests. If every request counted the same, a fast model would get as many replicas as
 // a slow one, and the slow one would have too few and miss its goals.
 //
-// The cost must not depend on how busy the runners are, nor on the placement plan. The length of an answer doesn't; the time per byte is learnt from the
-// fastest answers, because the others were slowed down by requests beside them. If the cost were the time that answers take, a model on overloaded runners
-// would seem to need more and more of them. Of the prompt only the request's own part counts, because a shared prefix is prefilled once for many requests.
-// The means change slowly, so that a few very long prompts don't cause replicas to be moved.
+// The cost must not depend on how busy the runners are, nor on the placement plan. The length of an answer depends on neither; the time per byte is
+// learnt from the fastest answers, because the others were slowed down by concurrent requests. If the cost were the time that answers take, a model on
+// overloaded runners would seem to need more and more runners. Of the prompt, only the request's own part counts, because a shared prefix is prefilled once for
+// many requests. The means change slowly, so that a few very long prompts don't cause replicas to be moved.
 #pragma once
 
 #include "core/units.h"
@@ -19,7 +19,7 @@
 {
 
 struct RequestCostOptions {
-    double unknownSeconds = 0.025; ///< before the first answer: one request's share of the steps for some 300 tokens
+    double unknownSeconds = 0.025; ///< cost before the first answer: one request's share of the decode steps for some 300 tokens
     double learnRate = 0.03; ///< weight of one answer in the means
     /// Weight of the prior (`unknownSeconds`), in answers. Short answers end first: without a prior every model seems cheap for some seconds after a start.
     double priorAnswers = 30;
@@ -39,8 +39,8 @@
     explicit RequestCost(RequestCostOptions options = {});
 
     // Queries
-    auto seconds(const std::string &model) const -> double; ///< of runner time per request
-    auto prefillSeconds() const -> double; ///< mean of one prompt, over all models
+    auto seconds(const std::string &model) const -> double; ///< runner time per request
+    auto prefillSeconds() const -> double; ///< mean prefill time of the request's own part of a prompt, over all models
     auto slotSeconds() const -> double; ///< mean time until the next stream ends on a full runner, over all models, from the observed durations
 
     // Commands
@@ -63,9 +63,9 @@
         auto seconds() const -> double;
     };
     RequestCostOptions m_options;
-    Mean m_all; ///< starts at the prior
-    Mean m_prefill; ///< starts at half the prior
-    Mean m_slot; ///< starts at the prior
+    Mean m_all; ///< seconds of runner time per request, over all models; starts at the prior
+    Mean m_prefill; ///< seconds, over all models; starts at half the prior
+    Mean m_slot; ///< seconds, over all models; starts at the prior
     std::map<std::string, Model> m_models;
 };
 
--- a/src/core/retry.cpp
+++ b/src/core/retry.cpp
@@ -83,8 +83,8 @@
     if (end.outcome == AttemptOutcome::Delivered) {
         return {RetryAction::Deliver, 0, "whole"};
     }
-    // A non-idempotent request that is sent again after an unknown outcome may run twice without being noticed. So it is sent again
-    // only if the last attempt certainly didn't run.
+    // A non-idempotent request that is sent again after an unknown outcome may run twice without anyone noticing, so it is sent
+    // again only if the last attempt certainly didn't run.
     if (!request.idempotent && end.outcome != AttemptOutcome::NotRun) {
         return giveUp(end, "may have run and must run once");
     }
--- a/src/core/retry.h
+++ b/src/core/retry.h
@@ -1,4 +1,4 @@
-// Decides what follows when an attempt has ended: a retry, a resumed stream, or the final answer to the caller. Also decides whether to hedge.
+// Decides what follows when an attempt has ended: a retry, a resumed stream, or the final answer to the caller. Also decides whether to hedge. No I/O.
 //
 // Index of sections (search for [SECTION]):
 //   RetryBudget   a token bucket per service, so that retries can't amplify an overload
@@ -31,7 +31,7 @@
 
     auto available(const ServiceName &service) const -> double;
     auto requestSeen(const ServiceName &service) -> void; ///< a new request: adds tokens
-    auto withdraw(const ServiceName &service) -> bool; ///< takes a token; false: there is none, don't retry now
+    auto withdraw(const ServiceName &service) -> bool; ///< takes a token; false: none is left, so there must be no retry now
 
 private:
     RetryBudgetOptions m_options;
@@ -48,8 +48,8 @@
 
 struct AttemptEnd {
     AttemptOutcome outcome = AttemptOutcome::Unknown;
-    std::string code; ///< from the agent, e.g. "leaving"
-    std::uint64_t deliveredTokens = 0; ///< of the stream, already forwarded to the caller
+    std::string code; ///< reason given by the agent, e.g. "leaving"
+    std::uint64_t deliveredTokens = 0; ///< tokens of the stream that were forwarded to the caller
     bool answerBegan = false; ///< a part of the answer was forwarded to the caller
 };
 
@@ -67,7 +67,7 @@
 enum class RetryAction {
     Deliver, ///< the answer is complete: done
     Retry, ///< at another target
-    Resume, ///< at another target, from `offset`
+    Resume, ///< continue the stream at another target, from `offset`
     SayNotRun, ///< tell the caller that the request wasn't run
     SayUnknown, ///< tell the caller that the request may have run, or that the answer is incomplete
 };
--- a/src/core/routing.cpp
+++ b/src/core/routing.cpp
@@ -18,22 +18,22 @@
 constexpr int DefaultLimit = 16;
 constexpr auto DefaultServiceTime = Duration::millis(200);
 constexpr auto MaxEjectionTime = Duration::seconds(30);
-constexpr double SlowdownPerRunningRequest = 0.02; ///< each running request slows down the others by about this share of a decode step
-constexpr double MinWeight = 0.05; ///< minimum for a target that isn't ejected, so that its state can be observed
+constexpr double SlowdownPerRunningRequest = 0.02; ///< each running request lengthens the service time of the others by about this share
+constexpr double MinWeight = 0.05; ///< minimum for a target that isn't ejected, so that it still gets some requests, which show its state
 constexpr double StaleWeight = 0.3; ///< factor for a target whose report is older than RoutingOptions::staleAfter
 constexpr double MeanWeight = 0.1; ///< weight of one observation in the mean service time
 constexpr double SlownessWeight = 0.05; ///< weight of one observation in a target's slowness
 constexpr double SlownessThreshold = 1.5; ///< a target counts as slow above this multiple of the mean service time; smaller differences are chance
 constexpr double MinEstimateShare = 0.6; ///< a request is too late if even this share of the estimate would miss the deadline
-constexpr double InteractiveHeadroom = 1.25; ///< interactive requests may exceed the limit by this factor, because the agent serves them first
+constexpr double InteractiveHeadroom = 1.25; ///< factor on the limit for interactive requests, which may exceed it because the agent serves them first
 constexpr auto NoTargetRetryDelay = Duration::millis(50);
 constexpr std::size_t MaxEndsKept = 256;
 
 struct Health {
     int failures = 0; ///< consecutive
-    int ejections = 0; ///< since the last success after a whole slow start
+    int ejections = 0; ///< since a request last succeeded after the end of a slow start
     TimePoint ejectedUntil;
-    TimePoint slowStartAt; ///< when the target came back
+    TimePoint slowStartAt; ///< when the target came back, its engine restarted or its ejection ends
     bool isSlowStarting = false;
 };
 
@@ -50,7 +50,7 @@
     std::optional<TargetLoad> load;
     TimePoint reportAt; ///< when `load` was received
     std::unordered_map<RequestId, Sent> sent;
-    std::vector<TimePoint> ends; ///< of requests that started before the report and ended after it
+    std::vector<TimePoint> ends; ///< of own requests that started before the report and ended after it
     Health health;
     double slowness = 1; ///< mean ratio of its service times to the mean of their class over all targets
     double promptTokens = 0; ///< sent by this process and not yet prefilled by the engine, as of `promptTokensAt`
@@ -170,9 +170,9 @@
     return state.load && state.load->concurrencyLimit > 0 ? state.load->concurrencyLimit : DefaultLimit;
 }
 
-/// Limits the pending prefill of lower classes, so that their long prompts go to a target one at a time. Sent as they arrive, they would keep the engine
-/// prefilling for seconds and delay the first token of every interactive request there. In the admission queue they wait in order of deadline, while
-/// interactive requests pass them.
+/// Limits the pending prefill of lower classes, so that their long prompts go to a target one at a time. If they were sent as they arrive, they would keep the
+/// engine prefilling for seconds and delay the first token of every interactive request there. In the admission queue they wait in order of deadline, while
+/// interactive requests overtake them.
 auto Router::Private::exceedsPrefillBacklog(const TargetState &state, Priority priority, TimePoint now) const -> bool
 {
     if (!options.countsPrompts || priority == Priority::Interactive) {
@@ -205,7 +205,7 @@
         const auto since = (now - state.health.slowStartAt).inSeconds();
         result = std::clamp(since / std::max(options.slowStart.inSeconds(), 1e-6), MinWeight, 1.0);
     }
-    // Failures before an ejection reduce the load gradually: one broken stream halves the share, the next one quarters it.
+    // Failures before an ejection reduce the load gradually: one failed request halves the share, a second one quarters it.
     result *= std::pow(0.5, state.health.failures);
     if (now - state.reportAt > options.staleAfter) {
         result *= StaleWeight;
@@ -215,8 +215,8 @@
 
 auto Router::Private::serviceTime(const TargetState &state, Priority priority) const -> Duration
 {
-    // The means are over all targets: the last few requests of a single target differ more by their length than by the target. A slow target
-    // is recognised by its slowness.
+    // The means are over all targets, because the last few requests of a single target differ more by their length than by the target. A slow
+    // target is accounted for by its slowness factor.
     const auto seen = classServiceMicros.find({state.service, priority});
     const double slowness = state.slowness > SlownessThreshold ? state.slowness : 1.0;
     if (seen != classServiceMicros.end()) {
--- a/src/core/routing.h
+++ b/src/core/routing.h
@@ -1,8 +1,9 @@
 // Routing: chooses the target that a request is sent to. No I/O: load reports and ends of requests are passed in with a time, a choice is returned.
 //
-// A target is eligible if it is up, not leaving, not ejected, and has every artifact of the request resident. For each eligible target that isn't
-// excluded, the router estimates when it would finish the request, from its last load report and what this process has sent since, and takes the
-// better of two drawn at random. Requests with a common prompt prefix go to the same target while its load is bounded.
+// A target is eligible if it is up, not leaving, not ejected, has reported recently that its engine is ready, and has every artifact of the request resident.
+// For each eligible target that isn't excluded, the router estimates how long it would take to finish the request, from its last load report and what this
+// process has sent since. It draws two at random and takes the better one. Requests with a common prompt prefix go to the same target while its load and
+// estimate stay within bounds.
 //
 // Index of sections (search for [SECTION]):
 //   Input      load reports and requests
@@ -28,7 +29,7 @@
 
 /// A target's load report. The counts are the agent's own and as recent as the message; `age` applies to the values from the engine.
 struct TargetLoad {
-    std::uint64_t sequence = 0; ///< a report with a lower one than the last is ignored
+    std::uint64_t sequence = 0; ///< a report with a lower sequence than the last one is ignored
     Duration age; ///< of the engine's values (decode step) when the report was sent
     int running = 0; ///< requests running at the engine
     int queued = 0; ///< requests waiting at the agent
@@ -39,17 +40,17 @@
     bool engineReady = true;
     std::uint64_t engineGeneration = 0;
     std::vector<ArtifactName> residents; ///< only those whose residency is confirmed
-    std::vector<std::string> cachedPrefixes; ///< fingerprints of prompt prefixes that are known to be in its cache
+    std::vector<std::string> cachedPrefixes; ///< fingerprints of prompt prefixes that are known to be in the engine's cache
 };
 
 /// A request to be sent or retried.
 struct RoutingRequest {
     RequestId id;
-    ServiceName service; ///< plain services, which have no artifacts: only the targets of this service are eligible
+    ServiceName service; ///< if `artifacts` is empty (a plain service), only targets of this service are eligible
     std::vector<ArtifactName> artifacts; ///< all must be resident at the target
     std::string prefixHash; ///< requests with the same hash share a prompt prefix; empty: none
-    int promptTokens = 0; ///< approximate; an engine prefills them before the first token, and later requests wait for that
-    std::string stickyKey; ///< run-once key: requests with the same key go to the target that its hash ranks first; empty: none
+    int promptTokens = 0; ///< approximate; the engine prefills them before the first token, and later requests wait for this prefill
+    std::string stickyKey; ///< idempotency key: requests with the same key go to the target that ranks first by rendezvous hashing; empty: none
     TimePoint deadline;
     Priority priority = Priority::Standard;
     std::vector<TargetId> excluded; ///< already tried
@@ -61,15 +62,15 @@
 enum class RoutingRefusal {
     NoCopy, ///< no eligible target has the artifacts
     AllExcluded, ///< every target that has them is excluded
-    TooLate, ///< no target is expected to finish by the deadline
-    Overloaded, ///< all targets are at their limit now: wait in the queue
+    TooLate, ///< no target with capacity is expected to finish by the deadline
+    Overloaded, ///< all targets that could take the request are at their limit: it should wait in the admission queue
 };
 auto toString(RoutingRefusal refusal) -> const char *;
 
 struct RoutingChoice {
     TargetId target; ///< empty if refused
     RoutingRefusal refusal = RoutingRefusal::NoCopy; ///< only if refused
-    Duration expected; ///< until the end of the answer; if refused, until a retry makes sense
+    Duration expected; ///< expected time until the end of the answer; if refused, until a retry makes sense
     std::string reason; ///< for the log and `explain`
 
     auto isRefused() const -> bool
@@ -99,16 +100,16 @@
 struct RoutingOptions {
     RoutingStrategy strategy = RoutingStrategy::Objective;
     ZoneName zone; ///< this process's own
-    std::uint64_t seed = 1; ///< of the random draws
+    std::uint64_t seed = 1; ///< seed of the random draws
     Duration otherZonePenalty = Duration::millis(2); ///< added to the estimate of targets in other zones: the round trip
     Duration staleAfter = Duration::seconds(2); ///< a target whose report is older than this gets a smaller share
     Duration deadAfter = Duration::seconds(6); ///< a target whose report is older than this is not eligible
     Duration slowStart = Duration::seconds(10); ///< time from a target's return until it gets its full share
-    Duration firstEjection = Duration::seconds(2); ///< after repeated failures; doubles with each further ejection, up to 30 s
-    int failuresToEject = 3; ///< consecutive failures
-    double batchShare = 0.7; ///< share of a target's limit that batch requests may fill
+    Duration firstEjection = Duration::seconds(2); ///< duration of the first ejection after repeated failures; doubles with each further one, up to 30 s
+    int failuresToEject = 3; ///< consecutive failures after which a target is ejected
+    double batchShare = 0.7; ///< batch requests are sent only to targets whose load, of all priorities, is below this share of the limit
     double affinityMaxLoadRatio = 1.25; ///< limit of the preferred target's load, as a multiple of the mean load
-    Duration affinityMaxDelay = Duration::millis(50); ///< by which the preferred target's estimate may exceed the best one
+    Duration affinityMaxDelay = Duration::millis(50); ///< the preferred target's estimate may exceed the best one by at most this
     double promptTokensPerSecond = 4500; ///< prefill rate of an engine while it also decodes
     double standardBacklog = 1000; ///< pending prompt tokens above which a target gets no further standard request
     double batchBacklog = 100; ///< pending prompt tokens above which a target gets no further batch request
@@ -133,7 +134,7 @@
     auto instances(const ServiceName &service, TimePoint now) const -> std::vector<TargetId>; ///< eligible targets of a plain service
     auto inFlight(const TargetId &target) const -> int; ///< requests sent by this process that haven't ended
     auto lastReport(const TargetId &target) const -> std::optional<TargetLoad>;
-    auto weight(const TargetId &target, TimePoint now) const -> double; ///< 0 (gets no requests) to 1 (its full share)
+    auto weight(const TargetId &target, TimePoint now) const -> double; ///< 0 (gets no requests) to 1 (gets its full share)
     auto hasCapacity(const TargetId &target, Priority priority, TimePoint now) const -> bool; ///< can take one more request of that priority
 
     /// Chooses a target. Call requestStarted() when the request has been sent. Not const, because it draws random numbers.
--- a/src/core/surgeplanning.cpp
+++ b/src/core/surgeplanning.cpp
@@ -82,7 +82,7 @@
     Plan surge;
     std::map<ArtifactName, int> roundsWanted; ///< number of consecutive rounds in which a further copy was worth its cost
     std::map<ArtifactName, TimePoint> lastRequestAt; ///< when each artifact last had demand
-    std::map<CopyName, TimePoint> requestedAt; ///< when each surge copy was added to the plan
+    std::map<CopyName, TimePoint> copyAddedAt; ///< when each surge copy was added to the plan
     double loadTokens = 0; ///< token bucket: loads that the weight store accepts now
     TimePoint lastRound;
     bool isStarted = false;
@@ -107,7 +107,7 @@
             const bool isObsolete = !usable.contains(target) || !input.declarations->artifacts.contains(artifact) || input.floor.contains(target, artifact);
             if (isObsolete) {
                 state.surge.remove(target, artifact);
-                state.requestedAt.erase({target, artifact});
+                state.copyAddedAt.erase({target, artifact});
             }
         }
     }
@@ -166,7 +166,7 @@
 
     auto countPendingLoads() -> void
     {
-        for (const auto &[copy, at] : m_state.requestedAt) {
+        for (const auto &[copy, at] : m_state.copyAddedAt) {
             const auto runner = m_model.find(copy.target);
             const auto artifact = m_model.find(copy.artifact);
             const bool isResident = runner != NoIndex && artifact != NoIndex && m_model.isResident(runner, artifact);
@@ -204,7 +204,7 @@
         }
         m_model.add(runner, artifact);
         m_state.surge.add(targetOf(runner), nameOf(artifact));
-        m_state.requestedAt[{targetOf(runner), nameOf(artifact)}] = m_now;
+        m_state.copyAddedAt[{targetOf(runner), nameOf(artifact)}] = m_now;
         m_result.decisions.push_back({PlacementKind::Surge, nameOf(artifact), targetOf(runner), why});
     }
 
@@ -218,7 +218,7 @@
         }
         m_model.drop(runner, artifact);
         m_state.surge.remove(targetOf(runner), nameOf(artifact));
-        m_state.requestedAt.erase({targetOf(runner), nameOf(artifact)});
+        m_state.copyAddedAt.erase({targetOf(runner), nameOf(artifact)});
         m_result.decisions.push_back({PlacementKind::Drop, nameOf(artifact), targetOf(runner), why});
     }
 
@@ -281,8 +281,8 @@
         const auto &surge = m_model.runners()[runner].surge;
         for (const auto artifact : surge) {
             const auto &one = m_model.artifacts()[artifact];
-            const auto at = m_state.requestedAt.find({targetOf(runner), nameOf(artifact)});
-            const bool isFresh = at != m_state.requestedAt.end() && m_now - at->second < m_policy.horizon;
+            const auto at = m_state.copyAddedAt.find({targetOf(runner), nameOf(artifact)});
+            const bool isFresh = at != m_state.copyAddedAt.end() && m_now - at->second < m_policy.horizon;
             const bool isNeeded = std::any_of(surge.begin(), surge.end(), [&](ArtifactIndex other) { return m_model.artifacts()[other].base == artifact; });
             const bool isOnlyOne = one.copies.size() < 2;
             if (!isFresh && !isNeeded && !isOnlyOne && m_model.lostPerSecond(artifact) <= 0) {
@@ -336,7 +336,7 @@
         const double loadSeconds = static_cast<double>(needed.count()) / m_state.options.bytesPerSecond;
         const double seconds = std::max(0.0, m_policy.horizon.inSeconds() - loadSeconds);
         const double gain = std::min(lost, spare / service) * seconds;
-        return {runner, gain - m_policy.moveCost * m_model.movesOn(runner, artifact), gain};
+        return {runner, gain - m_policy.moveCost * m_model.loadsNeededOn(runner, artifact), gain};
     }
 
     auto bestGain(ArtifactIndex artifact, double lost) const -> CopyGain
@@ -361,7 +361,7 @@
     {
         const auto &there = m_model.runners()[best.runner];
         std::ostringstream text;
-        text << "value=" << rounded(best.value) << " gain=" << rounded(best.gain) << " moves=" << m_model.movesOn(best.runner, artifact)
+        text << "value=" << rounded(best.value) << " gain=" << rounded(best.gain) << " moves=" << m_model.loadsNeededOn(best.runner, artifact)
              << " demand=" << rounded(m_model.artifacts()[artifact].demand->perSecond) << "/s losing=" << rounded(lost) << "/s busy=" << rounded(there.busy)
              << "/" << there.capacity;
         return text.str();
--- a/src/core/targethealth.cpp
+++ b/src/core/targethealth.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr double MaxSlowness = 10;
-constexpr double SlownessHalfLife = 3; // seconds; a runner that crashed or was slowed down recovers within a few
+constexpr double SlownessHalfLife = 3; // seconds; a runner that crashed or was slowed down recovers within a few seconds
 constexpr double SlownessRate = 0.15; // weight of one observation: some ten requests distinguish a slow target from chance
 constexpr double FailureRate = 0.3; // weight of one observation: three failures in a row bring a healthy target over DispatchOptions::failureThreshold
 
@@ -74,7 +74,7 @@
 auto TargetHealth::eject(TimePoint now) -> void
 {
     if (now < m_ejectedUntil) {
-        return; // that request was sent before the ejection
+        return; // the request that got no answer was sent before the ejection
     }
     m_ejectedUntil = now + std::min(m_options.firstEjection * std::exp2(m_ejections), m_options.maxEjectionTime);
     ++m_ejections;
--- a/src/core/targetview.h
+++ b/src/core/targetview.h
@@ -1,9 +1,10 @@
 // The set of known targets, from their rows in the store. No I/O.
 //
 // The removal of a row means that its target has left, and it gets no new requests. But the store also removes rows whose targets
-// don't renew them, which healthy targets can't while the store is unavailable: their rows are removed, and return within two seconds
-// of the store's recovery. If these removals took effect at once, callers would have no target. So the removal of a row while the
-// store is unreachable, or within `settleTime` afterwards, is deferred.
+// don't renew them, and even healthy targets can't renew them while the store is unavailable: their rows are removed, and
+// return within two seconds of the store's recovery. If these removals took effect at once, requests would have no target. So the
+// removal of a row while the store is unreachable, or within `settleTime` afterwards, is deferred, unless the target had announced
+// that it is leaving.
 #pragma once
 
 #include "core/targetinfo.h"
@@ -17,8 +18,8 @@
 {
 
 struct TargetViewOptions {
-    Duration settleTime = Duration::millis(2300); ///< after the store was unreachable: rows return within two seconds, and have to arrive here
-    double maxLossShare = 0.5; ///< a larger share of rows removed at once is doubted; one zone of three or more has fewer targets
+    Duration settleTime = Duration::millis(2300); ///< deferral after the store was unreachable: rows return within two seconds, and have to arrive here
+    double maxLossShare = 0.5; ///< see detectMassRemoval(); the loss of one zone of three or more removes a smaller share
 };
 
 struct TargetChanges {
@@ -31,7 +32,7 @@
 public:
     explicit TargetView(TargetViewOptions options = {});
 
-    auto isSettled(TimePoint now) const -> bool; ///< removed rows take effect at once
+    auto isSettled(TimePoint now) const -> bool; ///< the removal of a row takes effect at once
     auto find(const TargetId &target) const -> const TargetDescription *;
     auto targets() const -> const std::map<TargetId, TargetDescription> &;
 
@@ -39,23 +40,24 @@
     auto storeUnreachable(TimePoint now) -> void;
     /// A new or changed row.
     auto rowReceived(const TargetDescription &description, TimePoint now) -> TargetChanges;
-    /// The rows of `count` known targets are about to be removed at once. If that is more than `maxLossShare`, the store is taken to have been unreachable,
-    /// and true is returned: most targets don't leave at the same time, but a store that was unavailable removes all rows that weren't renewed, and they
-    /// return within two seconds. Without this check, a gateway that didn't notice the outage would refuse every caller for that time.
+    /// The rows of `count` known targets are about to be removed at once. If that is more than one target and more than `maxLossShare` of all, the store is
+    /// taken to have been unreachable, and true is returned: most targets don't leave at the same time, but a store that was unavailable removes all rows that
+    /// weren't renewed, and they return within two seconds. Without this check, a gateway that didn't notice the outage would refuse every caller for that
+    /// time.
     auto detectMassRemoval(std::size_t count, TimePoint now) -> bool;
     /// The row was removed, or no longer describes a target.
     auto rowRemoved(const TargetId &target, TimePoint now) -> TargetChanges;
     /// Another gateway reported that the target is leaving. Ignored for another incarnation under the same id.
     auto reportedLeaving(const TargetIncarnation &target, TimePoint now) -> TargetChanges;
-    /// Another process answers at the target's address, whatever its row says.
+    /// Another process answers at the target's address. Removes the target even though its row still exists.
     auto misdirected(const TargetId &target) -> TargetChanges;
     auto advance(TimePoint now) -> TargetChanges; ///< applies deferred removals; call a few times per second
 
 private:
     TargetViewOptions m_options;
     std::map<TargetId, TargetDescription> m_targets;
-    std::set<TargetId> m_missing; ///< their rows were removed while the store wasn't settled
-    TimePoint m_unreachableAt;
+    std::set<TargetId> m_missing; ///< known targets whose rows were removed before isSettled(): their removal is deferred
+    TimePoint m_unreachableAt; ///< when the store was last unreachable
     bool m_wasUnreachable = false;
 };
 
