--- a/src/core/adapterplan.cpp
+++ b/src/core/adapterplan.cpp
@@ -43,7 +43,7 @@
             continue;
         }
         if (runner->freeAdapterSlots(*input.engine, now) > 0) {
-            continue; // a slot is free but the runner takes no order now: evicting wouldn't help
+            continue; // a slot is free but the runner takes no order now: an eviction wouldn't help
         }
         for (const auto &held : about.models) {
             for (const auto &loaded : held.adapters) {
--- a/src/core/adapterplan.h
+++ b/src/core/adapterplan.h
@@ -1,5 +1,5 @@
-// Chooses the runner on which an adapter is loaded. Adapters are small and loaded in milliseconds, but a runner has few adapter slots: adapters are loaded
-// when they are requested, and the least recently used one is evicted. No I/O.
+// Chooses the runner on which an adapter is loaded. Adapters are small and load in milliseconds, but a runner has few adapter slots: an adapter is loaded
+// when it is requested, and the least recently used adapter is evicted if no slot is free. No I/O.
 #pragma once
 
 #include "core/copyplan.h"
--- a/src/core/copyplan.cpp
+++ b/src/core/copyplan.cpp
@@ -21,8 +21,8 @@
 /// Limits on the models that are examined for one more replica, and on the placements of each: the spread of work is computed for every pair.
 constexpr std::size_t MaxCandidateModels = 4;
 constexpr std::size_t MaxPlacementsPerModel = 4;
-/// Cost of a slower weight source in the ranking of placements, as a share of a runner's time for each step from memory to disk to the weight store: a slower
-/// load costs more than a tenth of a runner's time. Each evicted replica is ranked with the same cost.
+/// Added to the rank of a placement for each step from memory to disk to the weight store, and for each evicted replica, as a share of a runner's time. A load
+/// from a slower source costs more than a tenth of a runner's time.
 constexpr double SourceCost = 0.1;
 constexpr double NoGain = -std::numeric_limits<double>::infinity();
 
@@ -30,7 +30,7 @@
 struct PlannedModel {
     const ModelDeclaration *declared = nullptr;
     double work = 0; ///< runners that its requests keep busy
-    int usable = 0; ///< replicas that serve now and don't drain
+    int usable = 0; ///< number of replicas that serve now and don't drain
     TimePoint lastRequestAt;
     double missingSeconds = 0; ///< how long it has had requests but no replica
 };
@@ -39,15 +39,15 @@
 struct PlannedRunner {
     const RunnerBook *book = nullptr;
     const CopyMove *move = nullptr; ///< its move in progress, or null
-    std::vector<std::size_t> holds; ///< models that serve there now and don't drain
-    bool isReserved = false; ///< gets no further order or move in this round
+    std::vector<std::size_t> holds; ///< models whose replica on the runner serves now and doesn't drain
+    bool isReserved = false; ///< the runner gets no further order or move in this round
 };
 
 /// A possible placement of one more replica of a model.
 struct Placement {
     std::size_t runner = 0;
     WeightSource source = WeightSource::Store;
-    std::vector<std::size_t> evicted; ///< models to be evicted there
+    std::vector<std::size_t> evicted; ///< models to be evicted from the runner
     double rank = 0; ///< lower is better
 };
 
@@ -105,9 +105,9 @@
     TimePoint m_now;
     std::vector<PlannedModel> m_models; ///< in the declaration's order
     std::vector<PlannedRunner> m_runners;
-    CopySpread m_spread; ///< over the replicas that serve, are being loaded or are the incoming ones of moves
+    CopySpread m_spread; ///< over the replicas that serve and don't drain, are being loaded, or are incoming by a move
     std::size_t m_moves = 0; ///< number of moves in progress
-    bool m_allFit = true; ///< memory suffices for a replica of each model and further replicas of busy ones
+    bool m_allFit = true; ///< memory suffices for a replica of each model and further replicas of busy models
     CopyPlan m_plan;
 };
 
@@ -151,7 +151,7 @@
     const auto found = m_input.work.find(model.name);
     const auto none = ModelWork();
     const auto &asked = found == m_input.work.end() ? none : found->second;
-    // A runner with all adapter slots in use refuses requests just as a busy one does.
+    // A runner whose adapter slots are all in use refuses requests as a busy runner does, so active adapters count as work.
     const double slots = std::max(m_input.engine->adapterSlots, 1);
     return std::max({asked.now, asked.soon, asked.activeAdapters / slots * m_options.fullAdapterSlotsWork});
 }
@@ -272,7 +272,7 @@
     unloadDrained(runner);
 }
 
-/// Compares the move with aborting it, which would use the draining replicas again.
+/// Compares the lost work with that after an abort, when the draining replicas would be used again. A move whose load has begun is always completed.
 auto Round::isMoveWorthwhile(std::size_t runner, std::size_t incoming) const -> bool
 {
     const auto *book = m_runners[runner].book;
@@ -309,7 +309,7 @@
     --m_moves;
 }
 
-/// Unloads one drained replica, as a runner executes one order at a time.
+/// Unloads one drained replica, as a runner executes one order at a time. A replica that has become its model's last one since the move began is kept.
 auto Round::unloadDrained(PlannedRunner &runner) -> void
 {
     for (const auto &name : runner.move->evicted) {
@@ -334,7 +334,7 @@
 
 // [SECTION] Placements
 
-/// Adds the replica with the largest gain, and repeats this while there is a gain.
+/// Adds the replica with the largest gain, and repeats this while there is a gain, at most maxChangesPerRound times.
 auto Round::addCopies() -> void
 {
     for (int changes = 0; changes < m_options.maxChangesPerRound; ++changes) {
@@ -378,8 +378,8 @@
     return list;
 }
 
-/// Optimistic estimate of the gain of one more replica: the lost work that is saved if work moves to the least loaded runner until that and the model's own
-/// least loaded runner are even, but at most half of the model's work.
+/// Optimistic estimate of the gain of one more replica: the lost work that is saved if work moves from the model's least loaded runner to the least loaded of
+/// all unreserved runners, whose load is `least`, until both loads are equal, but at most half of the model's work.
 auto Round::potentialGain(std::size_t model, double least) const -> double
 {
     const auto &loss = m_options.loss;
@@ -401,7 +401,7 @@
     return list;
 }
 
-/// The placement on one runner, if possible. The rank prefers less loaded runners, free memory to evictions, and faster loads.
+/// The placement on one runner, if possible. The rank prefers less loaded runners, free memory over evictions, and faster weight sources.
 auto Round::placementOn(std::size_t number, std::size_t model) const -> std::optional<Placement>
 {
     const auto &runner = m_runners[number];
@@ -440,7 +440,7 @@
     return m_input.estimatedStreams ? m_input.estimatedStreams({idOf(m_runners[runner]), nameOf(model)}) : 0;
 }
 
-/// Whether the last replica of another model may be evicted for this model. If so, the gain decides.
+/// Whether the last replica of another model may be evicted for this model. If so, the gain decides whether it is.
 auto Round::mayEvictLastReplica(std::size_t incoming) const -> bool
 {
     const bool isMissing = m_spread.copies(incoming) == 0;
@@ -450,7 +450,7 @@
 /// The replicas whose eviction costs least, as many as are needed; nothing if they don't free enough memory.
 auto Round::chooseEvictions(std::size_t number, std::size_t incoming, Bytes missing) const -> std::optional<std::vector<std::size_t>>
 {
-    // If not all models fit, a model without requests waits for free memory: a model that was evicted for it would in turn evict another one.
+    // If not all models fit, a model without requests waits for free memory: the model that was evicted for it would in turn evict another one.
     if (m_models[incoming].work <= 0 && (!m_input.isDemandKnown || !m_allFit)) {
         return std::nullopt;
     }
@@ -482,7 +482,7 @@
     if (missing > Bytes()) {
         return std::nullopt;
     }
-    // Replicas that needn't be evicted after all stay, those with the highest cost first.
+    // The replicas chosen last may free enough memory alone: the others are kept, those with the highest eviction cost first.
     for (std::size_t i = evicted.size(); i > 0; --i) {
         const auto size = memoryHeld(runner, evicted[i - 1]);
         if (missing + size <= Bytes()) {
@@ -493,7 +493,7 @@
     return evicted;
 }
 
-/// Weights of the model and of its adapters that are loaded there.
+/// Weights of the model and of its adapters that are loaded on the runner.
 auto Round::memoryHeld(const PlannedRunner &runner, std::size_t model) const -> Bytes
 {
     const auto *declared = m_models[model].declared;
@@ -502,7 +502,7 @@
     return declared->weights + Bytes(declared->adapterWeights.count() * adapters);
 }
 
-/// Lost work that the placement saves, minus the least amount that is worth a change.
+/// Lost work that the placement saves, minus the minimum that a load or an eviction must save.
 auto Round::gainOf(std::size_t model, const Placement &placement, double lostNow) const -> double
 {
     auto after = m_spread;
--- a/src/core/copyspread.cpp
+++ b/src/core/copyspread.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Passes over all models. After two the loads are within a few hundredths of their final values.
+/// Passes over all models. After two passes the loads are within a few hundredths of their final values.
 constexpr int Sweeps = 3;
 constexpr double NegligibleWork = 1e-6;
 
@@ -116,7 +116,7 @@
     }
 }
 
-/// Water-filling: raises the model's least loaded runners to a common load, with the other models' work unchanged.
+/// Spreads one model's work by water-filling: raises its least loaded runners to a common load, with the other models' work unchanged.
 auto CopySpread::spread(std::size_t model) -> void
 {
     auto &copies = m_copies[model];
--- a/src/core/copyspread.h
+++ b/src/core/copyspread.h
@@ -17,11 +17,11 @@
 
 // [SECTION] Loss
 
-/// Work of a runner that is late or lost, as a function of the runner's load. Beyond its steepest point the curve goes on as a straight line: if it levelled
-/// off where hardly any request is on time, the first of several replicas that a model needs would seem to gain nothing.
+/// Work of a runner that is late or lost, as a function of the runner's load. Beyond its steepest point the curve continues as a straight line: if it levelled
+/// off at loads where hardly any request is on time, adding the first of several replicas that an overloaded model needs would seem to gain nothing.
 struct LossCurve {
     double halfLost = 0.7; ///< load at which half of the work is lost
-    double steepness = 2.5; ///< low, because streams stall behind the prompts of others long before a runner is full
+    double steepness = 2.5; ///< low, because streams are delayed by the prompts of other requests long before a runner is full
 
     auto lostWork(double work) const -> double;
 };
--- a/src/core/demand.cpp
+++ b/src/core/demand.cpp
@@ -10,9 +10,9 @@
 {
 
 constexpr double ServiceTimeWeight = 0.1; ///< weight of one request in the mean service time
-constexpr int MaxBucketsAtOnce = 600; ///< after a longer pause all levels have decayed to nothing
-constexpr double MinVariance = 1.0; ///< lower bound, in requests per bucket; below it the variance says nothing about chance
-constexpr double MaxTrendShare = 1.0; ///< the trend adds at most this share of the level
+constexpr int MaxBucketsAtOnce = 600; ///< buckets closed by one call; after a longer pause all levels have decayed to almost 0
+constexpr double MinVariance = 1.0; ///< lower bound, in requests per bucket; a smaller variance can't tell a step from chance
+constexpr double MaxTrendShare = 1.0; ///< the trend adds at most this share of the level to a forecast
 
 } // namespace
 
@@ -135,8 +135,8 @@
     const double deviation = std::sqrt(std::max(series.level, MinVariance));
     const double before = series.level;
     const double recent = (series.count + series.previous) / 2;
-    // A tenfold step must not wait for the moving average, as answers are late meanwhile. If the mean of the
-    // last two buckets is significantly above the level, it becomes the new level.
+    // After a tenfold step answers would be late until the moving average has followed. If the mean of the last two buckets is significantly above the level,
+    // it therefore becomes the new level at once.
     const bool isStep = recent > series.level + m_options.stepDeviations * deviation / std::sqrt(2.0) && series.previous > series.level;
     if (isStep) {
         series.level = recent;
--- a/src/core/demand.h
+++ b/src/core/demand.h
@@ -1,5 +1,5 @@
 // Forecasts the demand for each artifact: level and trend, computed from counted arrivals. A statistically significant rise is adopted within
-// two seconds; a fall is adopted slowly, so that copies aren't dropped and soon loaded again.
+// two seconds; a fall is adopted slowly, so that replicas aren't dropped and soon loaded again. No I/O.
 //
 // Index of sections (search for [SECTION]):
 //   Values           demand for one artifact, digest of one entry, options
@@ -30,7 +30,7 @@
 /// The demand that one entry has counted itself, sent to the entry that plans.
 struct DemandDigest {
     EntryId entry;
-    std::uint64_t sequence = 0; ///< digests with a lower number than the last are ignored
+    std::uint64_t sequence = 0; ///< a digest with a lower number than the last one is ignored while the last one is valid (DemandOptions::digestLifetime)
     std::vector<ArtifactDemand> rates;
 };
 
@@ -40,7 +40,7 @@
     double fallWeight = 0.04; ///< weight of a bucket below the level: a burst decays to half after 17 buckets
     double trendWeight = 0.1; ///< weight of a bucket in the moving average of the trend
     double stepDeviations = 4.0; ///< a rise by this many standard deviations of a Poisson count is adopted as a step
-    Duration digestLifetime = Duration::seconds(5); ///< the last digest of an entry counts for this long
+    Duration digestLifetime = Duration::seconds(5); ///< the last digest of an entry is valid for this long after its receipt
     double forgetBelow = 0.0005; ///< requests per second; artifacts with less demand are removed from the state
 };
 
@@ -54,14 +54,14 @@
     // Queries
     /// Demand counted by this process alone.
     auto digest(const EntryId &self, std::uint64_t sequence) const -> DemandDigest;
-    /// Demand expected at `now` + `ahead`, from this process's arrivals and all unexpired digests; ordered by artifact.
+    /// Demand expected at `now` + `ahead`: the sum of this process's own and of all valid digests; ordered by artifact.
     auto forecast(TimePoint now, Duration ahead) const -> std::vector<ArtifactDemand>;
 
     // Commands
     auto arrived(const ArtifactName &artifact, TimePoint now, double count = 1) -> void; ///< counts requests
     auto missed(const ArtifactName &artifact, TimePoint now) -> void; ///< a request was refused or answered late
     auto served(const ArtifactName &artifact, Duration serviceTime) -> void; ///< a request was answered
-    auto merge(const DemandDigest &digest, TimePoint now) -> void; ///< takes over another entry's digest
+    auto merge(const DemandDigest &digest, TimePoint now) -> void; ///< stores another entry's digest in place of its last one
     auto advance(TimePoint now) -> void; ///< closes the buckets that have ended; call a few times a second
 
 private:
--- a/src/core/demandhistory.h
+++ b/src/core/demandhistory.h
@@ -1,5 +1,5 @@
-// The request history of models that the holder of the order lease keeps for the copy plan. It is cleared whenever the lease is acquired, as the data of an
-// earlier term is out of date. No I/O.
+// The request history of models, kept by the holder of the order lease as input for planCopies() (core/copyplan.h). It is cleared whenever the lease is
+// acquired, as data of an earlier term is out of date. No I/O.
 #pragma once
 
 #include "core/ids.h"
@@ -16,13 +16,13 @@
 class DemandHistory
 {
 public:
-    /// `warmupTime`: from the first request of a term until a model without requests counts as idle.
+    /// `warmupTime`: time from the first request of a term until a model without requests counts as idle.
     explicit DemandHistory(Duration warmupTime);
 
     // Queries
-    auto isKnown(TimePoint now) const -> bool; ///< whether the warm-up time has passed
-    auto lastRequestAt() const -> const std::map<std::string, TimePoint> &; ///< the last request, by model
-    /// By model, since when it has had requests but no replica.
+    auto isKnown(TimePoint now) const -> bool; ///< whether the warm-up time has passed since the first request
+    auto lastRequestAt() const -> const std::map<std::string, TimePoint> &; ///< time of the last request, by model
+    /// Since when a model has had requests but no replica, by model.
     auto missingSince(const ServiceName &service) const -> std::map<std::string, TimePoint>;
 
     // Commands
--- a/src/core/floor.cpp
+++ b/src/core/floor.cpp
@@ -30,8 +30,6 @@
     return found == holders.end() ? ArtifactSet() : found->second;
 }
 
-// [SECTION] Holder
-
 auto floorRowOf(const Plan &plan) -> FloorRow
 {
     FloorRow row;
@@ -53,6 +51,8 @@
     return plan;
 }
 
+// [SECTION] Holder
+
 auto FloorPins::isSettled() const -> bool
 {
     return m_settled;
@@ -76,7 +76,7 @@
 auto FloorPins::rowRead(RowSource source, RowVersion version, const ArtifactSet &namedForUs) -> bool
 {
     m_settled = m_settled || source == RowSource::Table;
-    // Rows may arrive out of order. An older row may lack an artifact that a newer one relies on.
+    // Rows may arrive out of order. An older row may not name an artifact that a newer row assigns to this target.
     if (version <= m_version) {
         return false;
     }
--- a/src/core/floorplanning.cpp
+++ b/src/core/floorplanning.cpp
@@ -23,7 +23,7 @@
 struct RunnerBudget {
     const RunnerState *runner = nullptr;
     Bytes usable; ///< accelerator memory without the share reserved for the KV cache
-    Bytes used; ///< by planned copies
+    Bytes used; ///< by planned replicas
     int bundles = 0; ///< number of planned model versions
 
     auto free() const -> Bytes
@@ -75,7 +75,7 @@
             bundle.size += artifact.size;
             m_baseOf[name] = isBase ? name : artifact.base;
         }
-        // Artifacts that are no longer declared but still needed keep their copies and get no new ones.
+        // Artifacts that are no longer declared but still needed keep their replicas and get no new ones.
         for (const auto &artifact : m_input.retained) {
             m_baseOf.try_emplace(artifact, artifact);
         }
@@ -156,7 +156,7 @@
 
     auto keepOn(RunnerBudget &budget, const std::vector<ArtifactName> &artifacts) -> void
     {
-        // Bases before adapters, as an adapter is kept only where its base is.
+        // Bases come before adapters, as an adapter is kept only on a runner that keeps its base.
         for (const bool bases : {true, false}) {
             for (const auto &artifact : artifacts) {
                 const auto base = m_baseOf.find(artifact);
@@ -186,8 +186,9 @@
         return std::any_of(list.begin(), list.end(), [&](const auto &resident) { return resident.artifact == artifact; });
     }
 
-    /// Places a copy of the bundle in a zone that has none yet, on the runner with the most free memory. Runners on which the base is resident
-    /// are preferred, as a surge copy becomes a floor copy without a load. `share`: the share of usable memory that may be filled.
+    /// Places a replica of the bundle in a zone without a planned replica of its base. Runners on which the base is resident are preferred, as
+    /// an extra replica (surge) becomes a minimum replica without a load; among equals the runner with the most free memory is taken. `share`:
+    /// the share of usable memory that may be filled. Returns whether a runner was found.
     auto placeCopy(const Bundle &bundle, double share, const std::string &why) -> bool
     {
         const auto zones = zonesOf(bundle.base);
@@ -223,7 +224,7 @@
         m_result.decisions.push_back({PlacementKind::Floor, artifact, target, why});
     }
 
-    /// Places adapters that were declared after their base was placed: with each copy of the base where they fit, and with at least one.
+    /// Places adapters that were declared after their base was placed: with each replica of the base where they fit, and with at least one.
     auto placeMissingAdapters() -> void
     {
         for (const auto &bundle : m_bundles) {
@@ -249,7 +250,7 @@
         if (isPlaced) {
             return;
         }
-        // It fits with no copy of the base: place another copy of the base with only this adapter.
+        // The adapter fits beside no replica of its base: place another replica of the base with only this adapter.
         const Bundle alone {bundle.base, {adapter}, bundle.service, sizeOf(bundle.base) + sizeOf(adapter), 0};
         if (!placeCopy(alone, 1.0, "adapter-with-own-base")) {
             m_result.unplaced.push_back(adapter);
@@ -258,7 +259,7 @@
 
     auto placeFurtherCopies(int wanted) -> void
     {
-        // If memory doesn't suffice for all, the bundles with the highest demand come first, then the smallest, of which more fit.
+        // Memory may not suffice for all bundles: those with the highest demand come first; at equal demand the smallest, as more of them fit.
         std::vector<const Bundle *> order;
         for (const auto &bundle : m_bundles) {
             order.push_back(&bundle);
@@ -291,7 +292,7 @@
     std::vector<Bundle> m_bundles;
     std::map<ArtifactName, ArtifactName> m_baseOf; ///< base of each artifact; a model version is its own base
     std::map<TargetId, RunnerBudget> m_budgets;
-    std::map<ArtifactName, std::set<TargetId>> m_copies; ///< planned copies of model versions
+    std::map<ArtifactName, std::set<TargetId>> m_copies; ///< runners with a planned replica, by model version
     FloorResult m_result;
 };
 
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,14 +1,14 @@
-// Placement: which artifacts each runner holds. There are two kinds of copies. Floor copies keep every declared artifact resident
-// independent of demand; surge copies follow demand and may be dropped at any time.
+// Placement: which artifacts each runner holds. There are two kinds of replicas. Minimum replicas (floor) keep every declared artifact resident
+// independent of demand; extra replicas (surge) follow demand and may be dropped at any time. No I/O.
 //
-// Surge copies are chosen by one objective: the expected additional on-time answers over the horizon, minus the move cost of each load. The same
+// Extra replicas are chosen by one objective: the expected additional on-time answers over the horizon, minus the move cost of each load. The same
 // inputs give the same plan in every process.
 //
 // Index of sections (search for [SECTION]):
 //   Input          runners, demand, options
 //   Output         decisions with their reasons
 //   Floor          planFloor() plans the desired floor; composeFloorRow() (core/floor.h) decides which part of it may be written now
-//   SurgePlanner   plans the surge copies; keeps them between rounds
+//   SurgePlanner   plans the extra replicas and keeps them between rounds
 #pragma once
 
 #include "core/declarations.h"
@@ -30,7 +30,7 @@
 struct ResidentArtifact {
     ArtifactName artifact;
     Bytes size;
-    bool isLoading = false; ///< its load was ordered and isn't confirmed yet
+    bool isLoading = false; ///< a load was ordered and isn't confirmed yet
 };
 
 /// The last reported state of a runner.
@@ -39,29 +39,29 @@
     ZoneName zone;
     ServiceName service;
     Bytes memoryTotal;
-    int concurrency = 0; ///< requests that it runs at once; 0: unknown
+    int concurrency = 0; ///< number of requests that the runner executes at once; 0: unknown
     bool isUsable = true; ///< the runner is alive and its engine is ready
     bool isLeaving = false;
-    Duration downFor; ///< how long it has not been usable
+    Duration downFor; ///< how long the runner has not been usable
     std::vector<ResidentArtifact> residents;
 };
 
 enum class PlacementStrategy {
     Objective,
-    Static, ///< baseline: floor copies only
-    LoadOnDemand, ///< baseline: no floor; loads what is requested and evicts the least recently used copies
+    Static, ///< baseline: minimum replicas only
+    LoadOnDemand, ///< baseline: no floor; loads what is requested and evicts the least recently requested replicas
 };
 auto toString(PlacementStrategy strategy) -> const char *;
 auto placementStrategyFromString(const std::string &text) -> std::optional<PlacementStrategy>;
 
 struct PlacementOptions {
     PlacementStrategy strategy = PlacementStrategy::Objective;
-    double secondCopyShare = 0.92; ///< share of usable memory up to which second and further floor copies are placed; the rest is left for surge copies
+    double secondCopyShare = 0.92; ///< share of usable memory up to which second and further minimum replicas are placed; the rest is left for extra ones
     double fullShare = 0.7; ///< share of a runner's concurrency beyond which requests are assumed to be late
-    double bytesPerSecond = 3e9; ///< rate of a load while no other one runs
-    int roundsToConfirm = 2; ///< a surge copy must be worth its cost in this many consecutive rounds,
-    double urgentFactor = 4.0; ///< or its value must be this many times the move cost
-    Duration floorMoveDelay = Duration::seconds(30); ///< how long a runner may be down before its floor copies are moved
+    double bytesPerSecond = 3e9; ///< rate of a load while no other load runs
+    int roundsToConfirm = 2; ///< an extra replica that isn't urgent is loaded once it has been worth its cost in this many consecutive rounds
+    double urgentFactor = 4.0; ///< an extra replica is urgent, and loaded at once, if its value is this many times the move cost
+    Duration floorMoveDelay = Duration::seconds(30); ///< how long a runner may be down before its minimum replicas are moved
     int concurrencyIfUnknown = 32;
 };
 
@@ -93,15 +93,15 @@
     std::vector<ArtifactName> unplaced; ///< fit on no runner: an operator must add capacity or remove declarations
 };
 
-/// Keeps the copies of the floor in force that still fit and adds missing ones: first one copy of each artifact, then copies in further zones
-/// where memory allows.
+/// Keeps the replicas of the floor in force that still fit and adds missing ones: first one replica of each artifact, then replicas in further
+/// zones where memory allows. Gives an empty floor for PlacementStrategy::LoadOnDemand.
 auto planFloor(const PlacementInput &input, const PlacementOptions &options) -> FloorResult;
 
 // [SECTION] SurgePlanner
 
 struct SurgeResult {
-    Plan surge; ///< all surge copies; replaces the plan of the last round
-    std::vector<PlacementDecision> decisions; ///< changes since the last round, and copies that wait for the weight store
+    Plan surge; ///< all extra replicas; replaces the plan of the last round
+    std::vector<PlacementDecision> decisions; ///< changes since the last round, and replicas that wait for the weight store
 };
 
 class SurgePlanner
@@ -111,8 +111,8 @@
     ~SurgePlanner();
 
     auto surge() const -> const Plan &;
-    /// Plans one round; call it about once a second. `wantedFloor` is the plan that planFloor() returned: those of its copies that the floor in
-    /// force doesn't name yet are loaded as surge copies.
+    /// Plans one round; call it about once a second. `wantedFloor` is the plan that planFloor() returned: its replicas that the floor in force
+    /// doesn't name yet are loaded as extra replicas.
     auto plan(const PlacementInput &input, const Plan &wantedFloor, TimePoint now) -> SurgeResult;
 
     struct Private;
--- a/src/core/placementmodel.cpp
+++ b/src/core/placementmodel.cpp
@@ -186,7 +186,7 @@
         for (const auto &resident : m_runners[runner].state->residents) {
             const auto artifact = find(resident.artifact);
             if (artifact == NoIndex) {
-                // No longer declared, but retained or still being unloaded: its memory isn't available for other copies.
+                // An artifact that is no longer declared, but retained or still being unloaded: its memory isn't available for other replicas.
                 m_runners[runner].used += resident.size;
                 continue;
             }
@@ -198,8 +198,8 @@
     }
 }
 
-/// Splits the artifact's requests over its holders in proportion to their spare capacity. Entries send each request to the holder that is
-/// expected to finish it first, which levels the load of the holders.
+/// Splits the artifact's requests over its holders in proportion to their spare capacity. This models how entries route requests: each goes to the
+/// holder that is expected to finish it first, which levels the load of the holders.
 auto PlacementModel::spread(ArtifactIndex artifact) -> void
 {
     auto &one = m_artifacts[artifact];
--- a/src/core/plan.h
+++ b/src/core/plan.h
@@ -1,5 +1,5 @@
-// A plan: which artifacts each target holds. The floor plan lists the copies that stay resident independent of demand; it is stored as a
-// table row and sent to agents in its JSON form.
+// A plan: which artifacts each target is to hold. The floor plan lists the minimum replicas (floor), which stay resident independent of demand;
+// it is stored as a table row and sent to agents, in JSON. No I/O.
 #pragma once
 
 #include "core/ids.h"
@@ -26,9 +26,9 @@
     auto artifactsOn(const TargetId &target) const -> const std::vector<ArtifactName> &; ///< empty if the target has no entry
     auto holders(const ArtifactName &artifact) const -> std::vector<TargetId>; ///< ordered by target
     auto targets() const -> std::vector<TargetId>;
-    auto copies() const -> std::size_t; ///< number of copies on all targets
+    auto copies() const -> std::size_t; ///< number of replicas on all targets
 
-    auto add(const TargetId &target, const ArtifactName &artifact) -> void; ///< no effect if it is there already
+    auto add(const TargetId &target, const ArtifactName &artifact) -> void; ///< no effect if the plan contains it already
     auto remove(const TargetId &target, const ArtifactName &artifact) -> void;
 
 private:
--- a/src/core/residency.cpp
+++ b/src/core/residency.cpp
@@ -44,7 +44,7 @@
         }
         const bool baseMissing = !want.base.isEmpty() && !m_ledger.isUsable(want.base);
         if (baseMissing) {
-            continue; // its base is in the list of wanted artifacts too
+            continue; // the base must be loaded first; it is a wanted artifact itself
         }
         if (m_ledger.mayLoad(want.name, want.bytes) != LedgerRefusal::NoMemory) {
             if (auto order = load(want)) {
@@ -52,7 +52,7 @@
             }
             continue;
         }
-        // Memory is freed for the most urgent artifact that lacks it. Less urgent ones must not take what is being freed.
+        // Memory is freed for the most urgent artifact that lacks memory. Less urgent artifacts aren't loaded meanwhile, as they would use up the freed memory.
         return freeMemory(want);
     }
     return std::nullopt;
@@ -76,12 +76,12 @@
     return ResidencyOrder {OrderKind::Load, want.name, want.base, want.bytes, want.floor ? "floor" : "surge"};
 }
 
-// Evicts one artifact: unwanted ones before surge copies, the least urgent first. A surge copy evicts only unwanted artifacts; otherwise two
-// surge copies of similar urgency could evict each other in turn.
+/// Evicts one artifact: unwanted ones before extra replicas (surge), and of these the least urgent first. An extra replica evicts only unwanted
+/// artifacts; otherwise two extra replicas of similar urgency could evict each other in turn.
 auto ResidencyPlanner::freeMemory(const WantedArtifact &want) const -> std::optional<ResidencyOrder>
 {
     if (want.bytes <= m_ledger.freeBytes() + m_ledger.releasing()) {
-        return std::nullopt; // enough is being unloaded already
+        return std::nullopt; // the unloads that are outstanding free enough memory
     }
     std::optional<EngineArtifact> victim;
     for (const auto &entry : m_ledger.residents()) {
--- a/src/core/runnerbook.cpp
+++ b/src/core/runnerbook.cpp
@@ -10,12 +10,12 @@
 
 /// Minimum time from a report to the request for the next one.
 constexpr auto ReportRetryDelay = Duration::millis(150);
-/// Delay before an order is sent again to a runner that is still unloading, and the number of such retries before its report is requested.
+/// Delay before a load is sent again to a runner that is still unloading, and the number of such retries before a report is requested.
 constexpr auto BusyRetryDelay = Duration::millis(80);
 constexpr int MaxBusyRetries = 6;
-/// If an unload was accepted longer ago than this, it is no longer the reason for a refusal: the runner's order count differs from the one known here.
+/// An unload that was accepted longer ago than this isn't taken as the reason for a refusal; the order count known here may then be wrong.
 constexpr auto MaxUnloadTime = Duration::seconds(1);
-/// Maximum age of a report's content. Runners of the sizes in use report state that is 200 ms old.
+/// Maximum age of a report's content. Runners of the sizes in use report a state that is 200 ms old.
 constexpr auto MaxReportAge = Duration::millis(400);
 
 auto contains(const std::vector<std::string> &list, std::string_view text) -> bool
@@ -84,7 +84,7 @@
         used += declared == nullptr ? Bytes() : declared->adapterWeights;
     }
     if (m_modelOrder && isBusy(now)) {
-        // The memory of a load is taken, and that of an unload isn't free yet: the unload waits for running requests.
+        // The model isn't in the list, but its memory is in use: a load has taken it, and an unload frees it only after the running requests have ended.
         const auto *declared = engine.model(m_modelOrder->order.model);
         used += declared == nullptr ? largest : declared->weights;
     }
@@ -115,7 +115,8 @@
 
 auto RunnerBook::isBusy(TimePoint now) const -> bool
 {
-    // A runner that is still unloading refuses other orders, so trying one is safe. A report would take longer.
+    // After its expected time an unload counts as done: a runner that is still unloading refuses other orders, so sending one is safe, and waiting for a report
+    // would take longer.
     return m_modelOrder && (m_modelOrder->order.isLoad || m_isBusyReported || now < m_modelOrder->doneAt);
 }
 
@@ -203,8 +204,8 @@
     if (!m_isKnown) {
         return;
     }
-    // The models known here are newer: the row may have been written before an accepted order, and it lags behind changes of adapters.
-    // With the row's list, loaded adapters would be missing here, and the next adapter load would exceed the runner's slots.
+    // The models known here are newer than those of the row: it may have been written before an accepted order, and it lags behind changes of adapters. With
+    // the row's list, loaded adapters would be missing, and the next adapter load would exceed the runner's slots.
     const auto *loaded = m_modelOrder && m_modelOrder->order.isLoad ? description.model(m_modelOrder->order.model) : nullptr;
     m_description.models = std::move(known);
     if (loaded != nullptr) {
@@ -226,7 +227,7 @@
     if (report.startedAtMillis && m_description.incarnation.startedAtMillis != 0 && *report.startedAtMillis != m_description.incarnation.startedAtMillis) {
         return; // the report is from another incarnation than the row; the row will be updated
     }
-    // A report is some hundred milliseconds old, so a lower order count than the known one may only mean that.
+    // A report's content is some hundred milliseconds old. If its order count is lower than the known one, it may predate the last accepted order: ignore it.
     const bool mayBeOld = m_isKnown || m_reportRequestedAt - m_acceptedAt < MaxReportAge;
     if (report.ordersTaken < m_ordersTaken && mayBeOld) {
         return;
@@ -253,7 +254,7 @@
     }
     m_modelOrder->doneAt = std::max(m_modelOrder->doneAt, now + ReportRetryDelay);
     if (!m_modelOrder->order.isLoad) {
-        apply(m_modelOrder->order); // it still runs requests with the model but takes no new ones
+        apply(m_modelOrder->order); // the runner still executes requests with the model but takes no new ones
     }
 }
 
@@ -347,8 +348,8 @@
     if (m_unacknowledged && m_unacknowledged->order.isLoad) {
         m_unansweredLoads.push_back({m_unacknowledged->order, m_ordersTaken, now + m_options.maxOrderDelay});
     }
-    // Using the same order count again is safe: either this order has taken effect and the next one is refused, or the next one is accepted and this one
-    // can't take effect any more.
+    // Sending the same order count with the next order is safe: if this order has taken effect, the next one is refused; if the next one is accepted, this one
+    // is refused when it arrives.
     m_unacknowledged.reset();
 }
 
--- a/src/core/surgeplanning.cpp
+++ b/src/core/surgeplanning.cpp
@@ -14,8 +14,9 @@
 namespace
 {
 
-constexpr auto LoadLifetime = Duration::seconds(60); ///< a requested copy that isn't resident after this no longer counts as a pending load
-constexpr double OnDemandFullLoad = 1.0; ///< load on demand adds a copy when all holders use this share of their capacity
+/// A replica that isn't resident this long after it was added to the plan no longer counts as a pending load.
+constexpr auto LoadLifetime = Duration::seconds(60);
+constexpr double OnDemandFullLoad = 1.0; ///< LoadOnDemand adds a replica when all holders use at least this share of their capacity
 constexpr double Tenths = 10; ///< numbers in reasons are rounded to 1/10
 
 auto rounded(double number) -> double
@@ -23,14 +24,14 @@
     return std::round(number * Tenths) / Tenths;
 }
 
-/// Value of the objective for one more copy.
+/// Value of the objective for one more replica.
 struct CopyGain {
     RunnerIndex runner = NoIndex;
-    double value = 0; ///< gain minus the cost of its loads
+    double value = 0; ///< gain minus the move cost of the loads that are needed
     double gain = 0; ///< additional on-time answers over the horizon
 };
 
-/// Identifies a surge copy from round to round.
+/// Identifies an extra replica in all rounds.
 struct CopyName {
     TargetId target;
     ArtifactName artifact;
@@ -80,10 +81,10 @@
 struct SurgePlanner::Private {
     PlacementOptions options;
     Plan surge;
-    std::map<ArtifactName, int> roundsWanted; ///< number of consecutive rounds in which a further copy was worth its cost
+    std::map<ArtifactName, int> roundsWanted; ///< number of consecutive rounds in which a further replica was worth its cost
     std::map<ArtifactName, TimePoint> lastRequestAt; ///< when each artifact last had demand
-    std::map<CopyName, TimePoint> copyAddedAt; ///< when each surge copy was added to the plan
-    double loadTokens = 0; ///< token bucket: loads that the weight store accepts now
+    std::map<CopyName, TimePoint> copyAddedAt; ///< when each extra replica was added to the plan
+    double loadTokens = 0; ///< token bucket: number of loads from the weight store that may begin now
     TimePoint lastRound;
     bool isStarted = false;
 };
@@ -91,8 +92,8 @@
 namespace
 {
 
-/// Removes surge copies that have become floor copies, are no longer declared or are on a runner that isn't usable. A runner that goes down loses its memory
-/// with the surge copies in it, so they are planned again if they are still worth their cost.
+/// Removes extra replicas that have become minimum replicas, whose artifact is no longer declared, or whose runner isn't usable or is leaving. A runner that
+/// goes down loses the replicas in its memory; they are planned again if they are still worth their cost.
 auto prune(SurgePlanner::Private &state, const PlacementInput &input) -> void
 {
     std::set<TargetId> usable;
@@ -222,7 +223,7 @@
         m_result.decisions.push_back({PlacementKind::Drop, nameOf(artifact), targetOf(runner), why});
     }
 
-    /// Loads floor copies that the row in force doesn't name yet as surge copies. The row is written once they are resident.
+    /// Plans minimum replicas that the floor in force doesn't name yet as extra replicas, so that their loads can begin before the row is written.
     auto requestFloor(const Plan &wantedFloor) -> void
     {
         if (m_input.floor.isEmpty()) {
@@ -240,7 +241,8 @@
         }
     }
 
-    /// Adds a copy of each artifact that is neither resident nor planned on any usable runner, independent of its demand: it couldn't be served otherwise.
+    /// Adds a replica of each artifact that is neither resident nor planned on any usable runner, also without demand: otherwise the artifact couldn't be
+    /// served.
     auto addStandIns() -> void
     {
         if (m_input.floor.isEmpty()) {
@@ -273,8 +275,9 @@
         return best;
     }
 
-    /// Surge copies on the runner that may be evicted, the least used first: the artifact's other copies can take their load, they weren't requested within
-    /// the last horizon, and they aren't the base of another surge copy there.
+    /// Extra replicas on the runner that may be evicted, those with the fewest running requests per replica first. The artifact has another replica and no
+    /// requests that are expected to be late, the replica was added to the plan at least one horizon ago, and it isn't the base of another extra replica on the
+    /// runner.
     auto evictable(RunnerIndex runner) const -> std::vector<ArtifactIndex>
     {
         std::vector<std::pair<double, ArtifactIndex>> order;
@@ -387,7 +390,7 @@
         std::erase_if(m_state.roundsWanted, [&](const auto &entry) { return !stillWanted.contains(entry.first); });
     }
 
-    /// Adds a copy if it is worth its cost and may be loaded now. Returns whether a copy is worth its cost.
+    /// Adds a replica of the artifact if it is worth its cost and may be loaded now. Returns whether it is worth its cost.
     auto tryToAddCopy(ArtifactIndex artifact) -> bool
     {
         const double lost = m_model.lostPerSecond(artifact);
--- a/src/core/traffic.h
+++ b/src/core/traffic.h
@@ -1,12 +1,12 @@
 // The operators' declarations for gateways that reach targets directly: routes, services with their engines, limits for callers.
-// Plain data. A Traffic object is one version of all of them; a newer version replaces it as a whole.
+// Plain data, no I/O. A Traffic object is one version of all declarations; a newer version replaces it as a whole.
 //
 // Index of sections (search for [SECTION]):
 //   Routes     which requests go to which service, and how
 //   Engines    models and capacities of a service's runners
 //   Limits     limits for callers
 //   Traffic    one version of all declarations
-//   Finding    finds the route and the service of a request
+//   Lookup     finds the route and the service of a request
 #pragma once
 
 #include "core/accounts.h"
@@ -39,7 +39,7 @@
 
 struct WeightedService {
     ServiceName service;
-    double weight = 1; ///< its share of the route's requests, relative to the weights of the others
+    double weight = 1; ///< the service's share of the route's requests, relative to the weights of the route's other services
 };
 
 struct Route {
@@ -47,9 +47,9 @@
     std::string host; ///< lower case
     std::string prefix; ///< path prefix; begins and ends with a slash
     RouteKind kind = RouteKind::NonIdempotent;
-    std::vector<WeightedService> services; ///< one, or several that share the route's requests by weight
+    std::vector<WeightedService> services; ///< one service, or several that share the route's requests by weight
     Duration timeout; ///< from the first byte of the request to the end of its answer
-    Duration goal; ///< an answer (for streams: the first event) within this time is on time
+    Duration goal; ///< an answer (for streams: its first event) within this time is on time
     Duration pauseGoal; ///< for streams: the longest pause between events that is on time; 0: none declared
     Duration callerGiveUpTime; ///< for streams: callers give up after this long without an event, also before the first one; 0: not known
     int priority = 0; ///< 0 is the most urgent
@@ -67,9 +67,9 @@
 struct ModelDeclaration {
     std::string name;
     Bytes weights;
-    Duration loadTime; ///< from the weight store, while no other load runs
-    Duration memoryLoadTime; ///< from the runner's own memory; 0: not declared
-    Duration diskLoadTime; ///< from the runner's own disk; 0: not declared
+    Duration loadTime; ///< time of a load from the weight store while no other load runs
+    Duration memoryLoadTime; ///< time of a load from the runner's host memory; 0: not declared
+    Duration diskLoadTime; ///< time of a load from the runner's disk; 0: not declared
     int adapters = 0; ///< number of adapters; they are named a1, a2, ...
     Bytes adapterWeights; ///< size of each adapter
 };
@@ -77,14 +77,14 @@
 /// The engine of a service's runners, the same for all of them.
 struct EngineDeclaration {
     int slots = 0; ///< maximum number of requests in a batch
-    int kvTokens = 0; ///< capacity of the KV cache, which running requests and cached prompts share
-    Bytes memory; ///< for weights and adapters together
+    int kvTokens = 0; ///< capacity of the KV cache in tokens; running requests and cached prompts share it
+    Bytes memory; ///< accelerator memory for models and adapters together
     int adapterSlots = 0; ///< maximum number of loaded adapters
     double loadsPerSecond = 0; ///< limit on loads from the weight store by all runners together; 0: not limited
     Bytes hostMemory; ///< host memory for cached weights
     Bytes disk; ///< disk space for cached weights
     auto models() const -> const std::vector<ModelDeclaration> &;
-    auto model(std::string_view name) const -> const ModelDeclaration *; ///< null if it isn't declared
+    auto model(std::string_view name) const -> const ModelDeclaration *; ///< null if the model isn't declared
     auto largestWeights() const -> Bytes; ///< weights of the largest model
     auto setModels(std::vector<ModelDeclaration> models) -> void;
 
@@ -106,8 +106,8 @@
 struct CallerLimits {
     std::size_t headBytes = 16384; ///< maximum size of a request's head
     std::size_t bodyBytes = 4U << 20U; ///< maximum size of a request's body
-    Duration headTimeout = Duration::seconds(3); ///< from a request's first byte to the end of its head, and between pieces of its body
-    Duration idleTimeout = Duration::seconds(15); ///< a connection without a request is closed after this
+    Duration headTimeout = Duration::seconds(3); ///< from a request's first byte to the end of its head; also the longest pause within its body
+    Duration idleTimeout = Duration::seconds(15); ///< a connection without a request is closed after this time
 };
 
 // [SECTION] Traffic
@@ -123,13 +123,14 @@
     AccountTable accounts;
 };
 
-/// Sets the band of each route: by its priority, and one band less urgent if its goal is at least twice the shortest goal of that priority, as its requests
-/// can wait for those. Also sets shortestGoal.
+/// Sets the band of each route: by its priority, and one band less urgent if its goal is at least twice the shortest goal of all routes with that priority, as
+/// its requests can wait for those with a short goal. Also sets shortestGoal.
 auto assignBands(Traffic &traffic) -> void;
-/// The band of a route's requests for an account whose priority replaces the route's. Requires assignBands().
+/// The band of a route's requests for an account whose priority replaces the route's. The route's goal is compared with its shortestGoal. Requires
+/// assignBands().
 auto bandOf(const Route &route, int priority) -> UrgencyBand;
 
-// [SECTION] Finding
+// [SECTION] Lookup
 
 /// Finds routes by host and longest matching prefix.
 class RouteTable
