--- a/src/core/configlog.cpp
+++ b/src/core/configlog.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-auto parseConfigChange(const std::string &value) -> std::optional<Revision>
+auto parseConfigChangeRevision(const std::string &value) -> std::optional<Revision>
 {
     try {
         return Revision(Json::parse(value).at("revision").get<std::uint64_t>());
@@ -133,7 +133,7 @@
         return retryLater(now);
     }
     if (const auto *change = findRow(*rows, configChangeKey(m_proposal.change))) {
-        const auto revision = parseConfigChange(change->value);
+        const auto revision = parseConfigChangeRevision(change->value);
         return revision ? CommitDecision {CommitOutcome::Accepted, *revision} : CommitDecision {};
     }
     ConfigHead head;
--- a/src/core/configlog.h
+++ b/src/core/configlog.h
@@ -54,7 +54,7 @@
 auto serializeConfigLogEntry(const ConfigLogEntry &entry) -> std::string;
 auto parseConfigLogEntry(const std::string &value) -> std::optional<ConfigLogEntry>;
 /// The revision that a `config/change/` row holds.
-auto parseConfigChange(const std::string &value) -> std::optional<Revision>;
+auto parseConfigChangeRevision(const std::string &value) -> std::optional<Revision>;
 
 // [SECTION] Commit
 
--- a/src/core/runonce.cpp
+++ b/src/core/runonce.cpp
@@ -51,7 +51,7 @@
     return sum;
 }
 
-auto limitRecord(const RunRecord &record, std::size_t maxBytes) -> RunRecord
+auto dropOversizedContent(const RunRecord &record, std::size_t maxBytes) -> RunRecord
 {
     if (recordBytes(record) <= maxBytes) {
         return record;
@@ -488,7 +488,7 @@
         return d->takeActions(now);
     }
     entry.phase = Phase::Recording;
-    entry.record = limitRecord(record, d->settings.maxRecordBytes);
+    entry.record = dropOversizedContent(record, d->settings.maxRecordBytes);
     d->answerAll(entry);
     const ClaimRow claim {.attempt = entry.attempt, .state = ClaimState::Done, .keepUntilMs = entry.keepUntilMs, .record = entry.record};
     d->queue.add({TableOp::Kind::Put, row, entry.version, serializeClaimRow(claim)}, CommitUrgency::Background, now);
