--- a/src/core/accountaccess.h
+++ b/src/core/accountaccess.h
@@ -1,4 +1,4 @@
-// Decides whether a request may run for the client account whose key it presents. Pure: no I/O, the caller passes the time.
+// Decides whether a request may run for the client account whose key it presents. No I/O; the time is a parameter.
 //
 // Index of sections (search for [SECTION]):
 //   Options         time bounds
@@ -23,7 +23,8 @@
 struct AccessOptions {
     /// Requests are admitted only while the proof that the declarations are current is at most this old; 0: no proof is needed.
     Duration proofLifetime;
-    /// An undeclared key is refused as unknown only if the proof is at most this old. With an older one the key may have been added since.
+    /// An undeclared key is refused as unknown only if the proof is at most this old. If the proof is older, the key may have been added
+    /// since then.
     Duration recentProofAge = Duration::seconds(2);
 };
 
--- a/src/core/accounts.h
+++ b/src/core/accounts.h
@@ -1,4 +1,4 @@
-// Client accounts: who may call, with which keys, and how much. Pure.
+// Client accounts: who may call, with which keys, and how much. No I/O.
 //
 // Keys are stored and looked up by digest only. The key itself exists only in the request, so no log, metric or message can leak it.
 //
--- a/src/core/backoff.h
+++ b/src/core/backoff.h
@@ -1,5 +1,5 @@
-// Exponential backoff with jitter: the delay before the next try. Jitter keeps the many clients of a server that has come back from retrying
-// at the same instant. Pure.
+// Exponential backoff with jitter: the delay before the next try. Jitter prevents all clients of a server that has become available again from
+// retrying at the same instant. No I/O.
 #pragma once
 
 #include "core/units.h"
--- a/src/core/breaker.h
+++ b/src/core/breaker.h
@@ -11,7 +11,7 @@
 {
 
 struct BreakerOptions {
-    int failuresToOpen = 5; ///< in a row
+    int failuresToOpen = 5; ///< failures in a row after which the breaker opens
     /// Time for which the breaker stays open; longer after each failed probe.
     BackoffOptions pause {.initial = Duration::millis(250), .max = Duration::seconds(5)};
 };
--- a/src/core/commitqueue.cpp
+++ b/src/core/commitqueue.cpp
@@ -76,7 +76,8 @@
         const auto due = std::max(gathered, write.notBefore);
         earliest = earliest ? std::min(*earliest, due) : due;
     }
-    // With the budget used up, a transaction of one row would be sent for each new token. Wait for as many tokens as the longest window brings.
+    // Once the budget is used up, a transaction of one row would be sent for each new token. To avoid that, wait for as many tokens as accrue in the longest
+    // window, or as there are pending writes.
     const double gathered = std::min(static_cast<double>(m_pending.size()), m_rate * m_settings.maxWindow.inSeconds());
     return std::max(*earliest, timeWithTokens(std::max(1.0, gathered)));
 }
@@ -91,7 +92,7 @@
     enqueue({std::move(op), urgency, now, now}, now);
 }
 
-// Foreground writes go before Background ones: a claim that a caller waits for before the record of an answer that the caller already has.
+// Foreground writes go before Background ones: for example a claim, which a caller waits for, goes before a record, whose caller already has the answer.
 auto CommitQueue::enqueue(PendingWrite write, TimePoint notBefore) -> void
 {
     write.notBefore = notBefore;
@@ -156,7 +157,7 @@
     }
 }
 
-// A conflict on one row fails the whole transaction; the other rows are sent again without it. If the result names none of the rows, all count as
+// A conflict on one row fails the whole transaction; the other rows are sent again without that row. If the result names none of the rows, all count as
 // conflicted.
 auto CommitQueue::settleConflict(const SentBatch &sent, const TransactResult &result, TimePoint now, CommitResult &settled) -> void
 {
--- a/src/core/commitqueue.h
+++ b/src/core/commitqueue.h
@@ -1,9 +1,9 @@
-// Group commit: batches pending row writes into transactions. Pure.
+// Group commit: batches pending row writes into transactions. No I/O.
 //
-// While no transaction is in flight, a write is sent at once. Otherwise writes are collected for a window whose length follows the duration of
-// transactions. The write budget is a token bucket that counts rows, as the platform does, not transactions. Its rate is halved when the platform
-// throttles and grows again with each committed row, so that agents which know nothing of each other share the platform's limit.
-// A write that was refused or lost stays in the queue, unchanged, until it is committed, meets a conflict or is removed.
+// While no transaction is in flight, a write is sent as soon as the budget allows. Otherwise writes are collected for a window whose length follows the
+// duration of transactions. The write budget is a token bucket that counts rows, as the platform does, not transactions. Its rate is halved when the platform
+// throttles and grows again with each committed row, so that agents share the platform's limit without any communication between them. A write that was refused
+// or lost stays in the queue, unchanged, until it is committed, meets a conflict or is removed.
 #pragma once
 
 #include "core/ids.h"
@@ -23,10 +23,10 @@
     double writesPerSecond = 100; ///< initial rate
     double minWritesPerSecond = 2;
     double maxWritesPerSecond = 300;
-    std::size_t batchesInFlight = 4; ///< at most
+    std::size_t batchesInFlight = 4; ///< maximum number of transactions in flight
     Duration minWindow = Duration::millis(1);
     Duration maxWindow = Duration::millis(50);
-    Duration retryDelay = Duration::millis(50); ///< before a refused or lost write is sent again
+    Duration retryDelay = Duration::millis(50); ///< delay before a refused or lost write is sent again
 };
 
 enum class CommitUrgency {
@@ -34,7 +34,7 @@
     Background, ///< no caller waits for the write
 };
 
-/// The outcome of a transaction, as keys of its rows. Those in `lost`, `unavailable` and `notApplied` stay in the queue.
+/// The outcome of a transaction, as keys of its rows. The writes in `lost`, `unavailable` and `notApplied` stay in the queue.
 struct CommitResult {
     std::vector<std::string> committed;
     std::vector<std::string> conflicted; ///< removed from the queue: the row has another version
@@ -66,7 +66,7 @@
 
     /// At most one write per row at a time.
     auto add(TableOp op, CommitUrgency urgency, TimePoint now) -> void;
-    /// Drops a pending write. One that is in a transaction isn't affected.
+    /// Drops a pending write. A write that is in a transaction isn't affected.
     auto remove(const std::string &key) -> void;
     /// The next transaction to send, if one is due.
     auto nextBatch(TimePoint now) -> std::optional<Batch>;
@@ -93,7 +93,7 @@
 
     CommitSettings m_settings;
     /// Foreground before Background, older before newer. Only the first MaxTransactionOps are examined, so that a queue that has grown long in an
-    /// outage doesn't make every event more expensive. Writes that wait for their retry may therefore delay the ones behind them a little.
+    /// outage doesn't make every event more expensive. Writes that wait for their retry may therefore delay those behind them a little.
     std::deque<PendingWrite> m_pending;
     std::map<BatchId, SentBatch> m_inFlight;
     std::uint64_t m_batches = 0; ///< number of the last batch
--- a/src/core/concurrencylimit.cpp
+++ b/src/core/concurrencylimit.cpp
@@ -10,8 +10,8 @@
 {
 
 constexpr double RecentWeight = 0.1; ///< weight of one observation in the moving average of the service time
-constexpr double BaselineDrift = 1.001; ///< rise of the baseline per observation: one that was too low is corrected after a few thousand
-constexpr double MinUtilization = 0.8; ///< the limit grows only if at least this share of it is in use; otherwise the service time says nothing about it
+constexpr double BaselineDrift = 1.001; ///< factor on the baseline per observation: a baseline that is too low is corrected after a few thousand observations
+constexpr double MinUtilization = 0.8; ///< the limit grows only if at least this share of it is in use; otherwise the service time says nothing about the limit
 constexpr double GentleShrink = 0.98; ///< factor for each observation of a slow target
 constexpr double HardShrink = 0.8; ///< factor for each overload
 
--- a/src/core/concurrencylimit.h
+++ b/src/core/concurrencylimit.h
@@ -1,5 +1,5 @@
 // Adaptive limit on the requests in flight to one target. It grows while service times stay close to those of an unloaded target and shrinks
-// when they rise. Excess requests then wait in our own queue, which respects priority and deadlines, instead of in the engine's queue.
+// when they rise. Excess requests then wait in this system's queue, which respects priority and deadlines, instead of in the engine's queue.
 #pragma once
 
 #include "core/units.h"
@@ -10,9 +10,9 @@
 struct ConcurrencyLimitOptions {
     int min = 4;
     int max = 64; ///< streams that an engine batches
-    int initial = 32; ///< what an engine runs at 34 ms per step; with a lower start, placement takes runners for full that aren't
+    int initial = 32; ///< what an engine runs at 34 ms per step; with a lower value, placement would consider runners full that have capacity left
     Duration maxStepTime = Duration::millis(34); ///< time between tokens; the limit shrinks while the engine takes longer
-    double tolerance = 2.0; ///< the limit shrinks when the service time exceeds this multiple of the unloaded one
+    double tolerance = 2.0; ///< the limit shrinks when the service time exceeds this multiple of that of an unloaded target
 };
 
 class ConcurrencyLimit
--- a/src/core/configlog.cpp
+++ b/src/core/configlog.cpp
@@ -162,12 +162,12 @@
         return CommitDecision {CommitOutcome::Accepted, m_proposal.expected.next()};
     }
     if (result.outcome == TransactOutcome::Conflict) {
-        // The head has changed, and row versions are never reused, so a transaction sent earlier has taken effect or never will. The next read
-        // shows which.
+        // The head has changed, and row versions are never reused, so a transaction sent earlier has taken effect or can no longer take
+        // effect. The next read shows which.
         m_resend = false;
         return read();
     }
-    // If the answer to the first transaction was lost, a refusal of its copy says nothing about the first.
+    // If the answer to the first transaction was lost, a refusal of the second one says nothing about the first.
     m_resend = m_resend || result.outcome == TransactOutcome::Lost;
     m_uncertain = m_uncertain || m_resend;
     return retryLater(now);
@@ -179,7 +179,7 @@
         return giveUp();
     }
     // Finding the change's row absent after a lost answer would not prove that the write never takes effect. Sending the same transaction again
-    // settles it: it commits, or it conflicts with a head on which the first one must now fail too.
+    // settles this: the second one commits, or it conflicts because the head has changed, in which case the first one can no longer take effect.
     if (m_resend) {
         return WriteConfig {m_ops};
     }
--- a/src/core/configlog.h
+++ b/src/core/configlog.h
@@ -1,10 +1,11 @@
-// The configuration log: commits an operator's change as the next revision, or reports why it wasn't committed. Pure: a state machine that takes
-// the store's results and returns the next request.
+// The configuration log: commits an operator's change as the next revision, or reports why the change wasn't committed. No I/O: a state machine that
+// takes the store's results and returns the next request.
 //
 // Rows: `config/head` holds the revision in force, `config/log/<revision>` each accepted change, and `config/change/<change id>` the revision that
-// a change became. One transaction writes all three. It expects the head's version as read and the other two rows to be absent, so that only one of
-// several concurrent operators succeeds. If the answer to a transaction is lost, the same transaction is sent again. Either it commits, or its
-// conflict proves that the first one took effect or never will; the row of the change id tells which.
+// a change became. One transaction writes all three rows. Its conditions are that the head still has the version that was read and that the other two rows
+// are absent, so that only one of several concurrent operators succeeds. If the answer to a transaction is lost, the same transaction is sent again. Either
+// the second one commits, or it conflicts. A conflict proves that the first one has taken effect or can no longer take effect; the row of the change id
+// tells which.
 //
 // Index of sections (search for [SECTION]):
 //   Rows       keys and values
@@ -36,7 +37,7 @@
 struct ConfigHead {
     Revision revision;
     ChangeId change;
-    std::string digest; ///< of the declarations; an equal digest means an unchanged set
+    std::string digest; ///< digest of the declarations; an equal digest means an unchanged set
 
     auto operator==(const ConfigHead &) const -> bool = default;
 };
@@ -70,7 +71,7 @@
     Accepted, ///< the change is `revision`, committed now or by an earlier proposal with the same change id
     Unchanged, ///< the set in force, `revision`, is the same as the proposed one
     Conflict, ///< another change was committed first and `revision` is in force; this change isn't a revision and won't become one
-    Unavailable, ///< the store could not be reached; this proposal certainly has no effect. An earlier one that got Unknown stays unknown
+    Unavailable, ///< no effect: the store could not be reached or the head's row is invalid. An earlier proposal that got Unknown stays unknown
     Unknown, ///< the change may be in force, or come into force later; propose again with the same change id
 };
 auto toString(CommitOutcome outcome) -> const char *;
--- a/src/core/crashrepeats.h
+++ b/src/core/crashrepeats.h
@@ -1,9 +1,10 @@
-// Detects a request that crashes each target that runs it and is repeated by its client. The third target in a row that breaks off while it runs the same
-// request is the last: after it the request is barred, that is, refused. Otherwise the repeats, at whichever gateway, would take down all targets of a
-// service one after the other.
+// Detects a request that crashes each target that runs it and is repeated by its client. When three targets in a row have broken off while they ran the
+// same request, the request is barred, that is, refused. Otherwise the repeats, at whichever gateway, would crash all targets of a service one after the
+// other.
 //
-// Breaks count only one after the other and some time apart. If many targets fail at the same time, or one is down and breaks off everything it gets, a
-// request may break off several times within moments without being the cause. A request that has succeeded once isn't suspected any more.
+// A break counts only if the request was sent after the previous break that counted, and minInterval has passed since. If many targets fail at the same time,
+// or a target is down and breaks off everything it gets, a request may break off several times within moments without being the cause. A request that has
+// succeeded once isn't suspected any more.
 //
 // Load pattern: a client repeats one request about every second, at any gateway, and each attempt crashes a target for some seconds. No I/O.
 #pragma once
@@ -19,9 +20,10 @@
 
 struct CrashRepeatOptions {
     int breaksToBar = 3; ///< breaks after which a request is barred; the smallest number that two unrelated target failures within the lifetime don't reach
-    Duration minInterval = Duration::millis(900); ///< between breaks that count; a crashed target is down for longer, and clients repeat after about a second
-    Duration lifetime = Duration::seconds(120); ///< of a record after its last break; clients repeat a request within some seconds
-    std::size_t maxRecords = 4096; ///< requests with a record; beyond it no further requests are recorded
+    /// Minimum time between breaks that count. A crashed target is down for longer, and clients repeat after about a second.
+    Duration minInterval = Duration::millis(900);
+    Duration lifetime = Duration::seconds(120); ///< lifetime of a record after its last break; clients repeat a request within some seconds
+    std::size_t maxRecords = 4096; ///< maximum number of records; beyond it no further requests are recorded
 };
 
 /// A fingerprint that is equal for requests with the same host, path and body.
@@ -34,11 +36,11 @@
 
     auto isEmpty() const -> bool; ///< there is no record, so fingerprints needn't be computed
     auto isBarred(std::uint64_t fingerprint, TimePoint now) const -> bool; ///< the request must not be sent to a target
-    auto breaks(std::uint64_t fingerprint) const -> int; ///< counted so far
+    auto breaks(std::uint64_t fingerprint) const -> int; ///< number of breaks counted so far
 
     /// The target broke off while it ran the request. Returns whether the break counts; if so, the other gateways must be notified.
     auto targetBrokeOff(std::uint64_t fingerprint, TimePoint sentAt, TimePoint now) -> bool;
-    auto succeeded(std::uint64_t fingerprint) -> void; ///< a run came to a good end: drops the record
+    auto succeeded(std::uint64_t fingerprint) -> void; ///< the request ran without a break: drops its record
     /// Another gateway has counted this many breaks.
     auto reported(std::uint64_t fingerprint, int breaks, TimePoint now) -> void;
     auto expire(TimePoint now) -> void; ///< drops records after their lifetime; call about once a second
--- a/src/core/decisionlog.h
+++ b/src/core/decisionlog.h
@@ -22,7 +22,7 @@
 public:
     explicit DecisionLog(std::size_t capacity = 4096);
 
-    /// The decisions whose subject is `subject` or whose text contains it, newest first; all if it is empty.
+    /// The decisions whose subject is `subject` or whose text contains it, newest first; all decisions if `subject` is empty.
     auto find(const std::string &subject, std::size_t maxResults) const -> std::vector<LoggedDecision>;
 
     auto add(LoggedDecision decision) -> void;
--- a/src/core/declarationcodec.h
+++ b/src/core/declarationcodec.h
@@ -14,8 +14,8 @@
 
 auto declarationsToJson(const Declarations &declarations) -> std::string;
 
-/// Returns InvalidInput if the text isn't JSON of this shape. Unknown fields, as a newer version may add, are ignored; missing fields get their
-/// defaults.
+/// Returns InvalidInput if the text isn't JSON of this shape. Unknown fields, as a newer version may add, are ignored. A missing part (services, ...,
+/// policy) is an error; missing fields within a part get their defaults.
 auto declarationsFromJson(const std::string &text) -> Result<Declarations>;
 
 /// Whether both sets declare the same things, regardless of the files they were read from.
--- a/src/core/declarations.h
+++ b/src/core/declarations.h
@@ -48,7 +48,7 @@
     Duration timeBudget = Duration::seconds(30); ///< for requests that name none
     double share = 1.0; ///< weight in fair queueing between services
     std::vector<NonIdempotentCall> nonIdempotentCalls; ///< plain services only
-    Duration claimRetention = Duration::seconds(86400); ///< how long a run-once record is kept
+    Duration claimRetention = Duration::seconds(86400); ///< how long the record of a run is kept for its idempotency key
     SourceLocation location;
 };
 
@@ -63,7 +63,7 @@
     ArtifactKind kind = ArtifactKind::ModelVersion;
     ServiceName service;
     ArtifactName base; ///< adapters only: the model version that must be resident on the same target
-    Bytes size; ///< of the weights
+    Bytes size; ///< size of the weights
     SourceLocation location;
 };
 
@@ -72,7 +72,7 @@
     std::string name;
     ServiceName service;
     ArtifactName current;
-    std::vector<ArtifactName> versions; ///< current first, then others that stay resident while one version replaces another
+    std::vector<ArtifactName> versions; ///< current first, then the others, which stay resident while one version replaces another
     SourceLocation location;
 };
 
@@ -97,7 +97,7 @@
     double loadsPerSecond = 2.0; ///< rate of loads that the weight store allows
     int parallelLoads = 3; ///< concurrent loads that the weight store serves at full speed
     double kvReserve = 0.15; ///< share of an accelerator's memory kept for the KV cache
-    int floorZones = 2; ///< availability zones that keep a floor replica of each artifact, where memory allows
+    int floorZones = 2; ///< availability zones that keep a minimum replica (floor) of each artifact, where memory allows
     SourceLocation location;
 };
 
--- a/src/core/eventcursor.h
+++ b/src/core/eventcursor.h
@@ -15,9 +15,9 @@
     /// `onEvent` is called with each whole event, including the blank line at its end.
     explicit EventCursor(std::function<void(std::string_view raw)> onEvent, std::size_t maxEvent = 1U << 20U);
 
-    auto lastId() const -> const std::string &; ///< of the last whole event that had an id; empty if there was none
+    auto lastId() const -> const std::string &; ///< id of the last whole event that had one; empty if no event had an id
     auto hasPartial() const -> bool; ///< there are buffered bytes of an incomplete event
-    auto isTooLong() const -> bool; ///< an event is longer than maxEvent; further bytes are ignored
+    auto isTooLong() const -> bool; ///< an incomplete event has more than maxEvent bytes; further bytes are ignored
 
     auto feed(std::string_view bytes) -> void;
     auto dropPartial() -> void;
--- a/src/core/eventstream.h
+++ b/src/core/eventstream.h
@@ -15,13 +15,13 @@
 class EventStreamReader
 {
 public:
-    /// Called for each event except [DONE], with its data and with its bytes as received, including the blank line at the end.
+    /// Called for each event with data, except [DONE], with its data and with its bytes as received, including the blank line at the end.
     using EventHook = std::function<void(std::string_view data, std::string_view raw)>;
 
     explicit EventStreamReader(EventHook onEvent, std::size_t maxEvent = 1U << 20U);
 
     auto isDone() const -> bool; ///< [DONE] was received
-    auto isMalformed() const -> bool; ///< an event is longer than maxEvent; further bytes are ignored
+    auto isMalformed() const -> bool; ///< an incomplete event has more than maxEvent bytes; further bytes are ignored
     auto events() const -> std::size_t; ///< events with data received so far, without [DONE]
 
     auto feed(std::string_view bytes) -> void;
--- a/src/core/finding.h
+++ b/src/core/finding.h
@@ -36,7 +36,7 @@
     }
 };
 
-/// "file:line: message", as compilers print it.
+/// "file:line: message", as compilers print it; only the message if there is no file.
 auto toString(const Finding &finding) -> std::string;
 
 } // namespace KingCup
--- a/src/core/freshness.h
+++ b/src/core/freshness.h
@@ -1,7 +1,7 @@
-// The last moment at which the declarations known to this process were proven to be current. Pure.
+// The last moment at which the declarations known to this process were proven to be current. No I/O.
 //
-// A revoked key must stop working within a bounded time on every gateway, also on one that is partitioned from everything and can't learn of the
-// revocation. So a gateway serves requests with keys only while it has a recent proof that its version of the declarations was the newest.
+// A revoked key must stop working within a bounded time on every gateway, including a gateway that is partitioned from everything and can't learn of
+// the revocation. So a gateway serves requests with keys only while it has a recent proof that its version of the declarations was the newest.
 // A read of the store proves that for the moment at which the read was sent, not for the arrival of the answer: a change may have been made in between.
 // A peer answers with the age of its own proof, which is counted back from the moment at which the peer was asked. Times of different hosts are never
 // compared.
@@ -23,7 +23,7 @@
 // [SECTION] Proof
 
 struct FreshnessProof {
-    RowVersion version; ///< of the declarations' row
+    RowVersion version; ///< version of the declarations' row
     TimePoint asOf; ///< on this process's clock; everything declared until then is part of that version
 };
 
--- a/src/core/hashing.cpp
+++ b/src/core/hashing.cpp
@@ -1,6 +1,6 @@
 #include "core/hashing.h"
 
-// The static analyser gets only the declarations, since it reports findings in the library's inline code.
+// The static analyser gets only the library's declarations, because it would report findings in the library's inline code.
 #ifndef __clang_analyzer__
 #define XXH_INLINE_ALL
 #endif
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -1,4 +1,4 @@
-// Names and counters, each kind with its own type, so that for example a runner's name can't be passed as a model's.
+// Names and counters, each kind with its own type, so that for example a runner's name can't be passed where a model's name is expected.
 //
 // Index of sections (search for [SECTION]):
 //   StrongName   the wrappers for names and numbers
@@ -18,7 +18,7 @@
 
 // [SECTION] StrongName
 
-/// A name of one kind, compared and ordered by its text. Empty means "none".
+/// A strongly typed name: each tag gives a distinct type. Compared and ordered by its text; empty means "none".
 template<typename Tag>
 class StrongName
 {
@@ -49,7 +49,7 @@
     return out << name.text();
 }
 
-/// A counter of one kind. 0 means "none yet".
+/// A strongly typed counter: each tag gives a distinct type. 0 means "none yet".
 template<typename Tag>
 class StrongNumber
 {
@@ -85,7 +85,7 @@
 using ServiceName = StrongName<struct ServiceNameTag>; ///< a declared service, e.g. "advisory"
 using ArtifactName = StrongName<struct ArtifactNameTag>; ///< a model version or an adapter: what can be resident on a target
 using TargetId = StrongName<struct TargetIdTag>; ///< a back end: a runner (on an accelerator) or a plain service's instance
-using EntryId = StrongName<struct EntryIdTag>; ///< an entry process
+using EntryId = StrongName<struct EntryIdTag>; ///< an entry or gateway process
 using ZoneName = StrongName<struct ZoneNameTag>; ///< an availability zone, e.g. "round-rock"
 using RequestId = StrongName<struct RequestIdTag>; ///< one request of a caller; unique, assigned by the entry process
 using RequestKey = StrongName<struct RequestKeyTag>; ///< the caller's Idempotency-Key
@@ -97,7 +97,7 @@
 // [SECTION] Numbers
 
 using Revision = StrongNumber<struct RevisionTag>; ///< revision of the declared configuration; only ever rises
-using Fence = StrongNumber<struct FenceTag>; ///< fencing number of orders; engines that check it refuse an order with a lower one
+using Fence = StrongNumber<struct FenceTag>; ///< fencing number of orders; an engine that checks fences refuses an order whose fence is below its own
 using RowVersion = StrongNumber<struct RowVersionTag>; ///< version of a table row; 0 means that the row is absent
 using SendId = StrongNumber<struct SendIdTag>; ///< one send of one request, numbered by the sending process
 
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -13,7 +13,7 @@
 struct Outstanding {
     EngineOrder order;
     TimePoint sentAt;
-    std::uint64_t generation = 0; ///< of the engine, as known when the order was created
+    std::uint64_t generation = 0; ///< generation of the engine, as known when the order was created
     bool isInStatus = false; ///< the last status lists the load as in progress, so its memory is charged already
 };
 
@@ -65,13 +65,13 @@
     TimePoint startedAt;
     std::uint64_t nextId = 1;
     bool open = false;
-    std::optional<EngineStatus> status; ///< the last one accepted
+    std::optional<EngineStatus> status; ///< the last accepted status
     TimePoint statusReceivedAt; ///< when that status arrived
     std::optional<TimePoint> pendingStatusRequest; ///< when the status request was sent that has no answer yet
     std::optional<TimePoint> lastStatusRequest;
     std::optional<Fence> openingFence; ///< orders with a lower fence are from earlier agents; none until the first status shows the engine's fence
-    Fence fence; ///< for new orders: the highest in a status or in the answer to a raise
-    std::optional<Fence> pendingRaise; ///< fence of a raise that has no answer yet
+    Fence fence; ///< for new orders: the highest fence in any status or in any answer to POST /fence
+    std::optional<Fence> pendingRaise; ///< the fence in the POST /fence request that has no answer yet
     TimePoint raiseSentAt;
     std::map<ArtifactName, Outstanding> outstanding; ///< one per artifact
 
@@ -100,7 +100,7 @@
 MemoryLedger::MemoryLedger(MemoryLedger &&) noexcept = default;
 auto MemoryLedger::operator=(MemoryLedger &&) noexcept -> MemoryLedger & = default;
 
-// Whether the status that was requested at `requestedAt` proves that an order has taken effect or can't any more.
+// Whether the status that was requested at `requestedAt` proves that an order has taken effect or can no longer take effect.
 //
 // A status that shows the order's effect proves the former, because an order id takes effect once and nobody else gives orders. A status that doesn't show
 // it proves nothing while the order may still take effect: if the order were taken for lost, its memory would be given away, and the engine would run out of
@@ -118,7 +118,7 @@
         return true;
     }
     if (checksFence() && status->fence > entry.order.fence) {
-        return true; // the engine refuses the order since this status at the latest
+        return true; // unless the order has taken effect before this status, the engine refuses it from now on
     }
     return requestedAt >= entry.sentAt + settings.longestOrderDelay;
 }
@@ -128,7 +128,8 @@
     std::erase_if(outstanding, [&](const auto &item) { return isSettled(item.second, requestedAt); });
 }
 
-// A restarted agent doesn't know the orders of before. Memory that is free by the status may not be used until none of those can take effect.
+// A restarted agent doesn't know the orders of its predecessor. Memory that is free by the status must not be used until none of these orders can take
+// effect any more.
 auto MemoryLedger::Private::tryOpen(TimePoint requestedAt) -> void
 {
     if (requestedAt >= startedAt + settings.longestOrderDelay) {
@@ -357,7 +358,7 @@
         d->pendingStatusRequest.reset();
     }
     // If two status requests were in flight at once, the answer that arrives last may show an older state, in which memory is free that has been taken since.
-    // So a status counts only if it was not requested before the last one arrived.
+    // So a status is ignored if it was requested before the last one arrived.
     if (d->status && requestedAt < d->statusReceivedAt) {
         return;
     }
--- a/src/core/ledger.h
+++ b/src/core/ledger.h
@@ -10,7 +10,8 @@
 //   - an engine that checks fences refuses an order whose fence is below its own at the moment the order would take effect;
 //   - an engine that ignores fences acts on no order later than `longestOrderDelay` after it was sent;
 //   - one order id takes effect at most once;
-//   - a crashed engine restarts empty under a higher generation. If its fence is lost, the restart takes longer than an order may be delayed.
+//   - a crashed engine restarts empty under a higher generation. If the crash loses its fence, the restart takes longer than an order may
+//     be delayed.
 //
 // Index of sections (search for [SECTION]):
 //   Settings   for one engine
@@ -34,11 +35,11 @@
 
 struct LedgerSettings {
     FencingSupport fencing = FencingSupport::Ignored;
-    Duration longestOrderDelay = Duration::seconds(15); ///< from sending to the last moment at which an order may take effect
+    Duration longestOrderDelay = Duration::seconds(15); ///< longest time from the sending of an order until it takes effect
     Fence firstFence; ///< the lowest fence to start with; rises with each start of the agent, so that it is above the fences of all earlier agents
     double kvReserve = 0.15; ///< share of memory kept for the KV cache
-    Duration statusPeriod = Duration::millis(500); ///< between status requests while orders are outstanding, loads are in progress or the ledger isn't open
-    Duration idleStatusPeriod = Duration::seconds(2); ///< between status requests otherwise
+    Duration statusPeriod = Duration::millis(500); ///< time between status requests while orders are outstanding, loads run or the ledger isn't open
+    Duration idleStatusPeriod = Duration::seconds(2); ///< time between status requests otherwise
     Duration answerTimeout = Duration::seconds(2); ///< a status request or fence raise without an answer is repeated after this
     Duration raiseFenceAfter = Duration::seconds(3); ///< the fence is raised if an order has had no visible effect for this long
 };
@@ -48,7 +49,7 @@
 struct EngineArtifact {
     ArtifactName artifact;
     Bytes bytes;
-    OrderId order; ///< of a load in progress; empty if resident
+    OrderId order; ///< order of a load in progress; empty if resident
 };
 
 /// The engine's answer to GET /status.
@@ -112,8 +113,8 @@
     // Queries
 
     auto isOpen() const -> bool; ///< orders of earlier agents can't take effect any more
-    auto generation() const -> std::uint64_t; ///< of the engine; 0 before the first status
-    auto fence() const -> Fence; ///< the highest that the engine has reported
+    auto generation() const -> std::uint64_t; ///< generation of the engine; 0 before the first status
+    auto fence() const -> Fence; ///< the highest fence that the engine has reported
     auto memoryTotal() const -> Bytes;
     auto kvReserved() const -> Bytes;
     auto charged() const -> Bytes; ///< resident, loading, and every load that may still take effect; without the KV reserve
--- a/src/core/logselection.h
+++ b/src/core/logselection.h
@@ -1,5 +1,5 @@
 // Selects the log lines that explain one request: the lines with its id on all hosts, ordered by time, and lines from shortly before and after about
-// its targets or about the state of its hosts as a whole. Pure: lines in, lines out.
+// its targets or about the state of its hosts as a whole. No I/O: lines in, lines out.
 //
 // A line has the form "t=MILLIS host=HOST part=PART event=EVENT key=value ...". A log collector's prefix before "t=" is removed, and lines of another
 // form are skipped.
@@ -23,7 +23,7 @@
 };
 
 struct LogSelectionOptions {
-    Duration before = Duration::seconds(3); ///< before its first line; a crash, ejection or loss of a lease shows in a request within this time
+    Duration before = Duration::seconds(3); ///< before the request's first line; a crash, ejection or lost lease affects a request within this time
     Duration after = Duration::seconds(1); ///< after the request's last line
 };
 
@@ -32,7 +32,7 @@
 public:
     explicit LogSelection(std::string requestId, LogSelectionOptions options = {});
 
-    auto isFound() const -> bool; ///< find() has met a line with the id
+    auto isFound() const -> bool; ///< find() was called with a line of the request
     auto lines() const -> std::vector<ExplainedLine>; ///< ordered by time
 
     /// Pass every line of all files twice: first to find(), which determines the request's time span, hosts and targets, then to collect().
@@ -47,7 +47,7 @@
     std::vector<std::string> m_targets;
     std::vector<std::string> m_hosts;
     std::int64_t m_from = 0; ///< time of the request's first line
-    std::int64_t m_to = 0; ///< time of its last line
+    std::int64_t m_to = 0; ///< time of the request's last line
     std::vector<ExplainedLine> m_lines;
 };
 
--- a/src/core/membership.cpp
+++ b/src/core/membership.cpp
@@ -90,7 +90,7 @@
 auto Membership::listReceived(const std::vector<ListedHost> &hosts, TimePoint now) -> void
 {
     // If the list service restarts empty or loses a shard, its list would remove many healthy members at once. Such a list lacks a large share of the listed
-    // members that still send heartbeats. Its additions are applied at once, its removals only after it has lacked that many for distrustPeriod.
+    // members that still send heartbeats. Its additions are applied at once, its removals only once this has lasted for distrustPeriod.
     std::set<std::string> listed;
     for (const auto &host : hosts) {
         listed.insert(host.id);
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,4 +1,5 @@
-// Which hosts are members and alive. The platform's host list, which lags, only proposes members; heartbeats decide which of them are live.
+// Tracks which hosts are members and which members are live. The platform's host list, which lags, only proposes members; heartbeats decide which of them are
+// live.
 //
 // Index of sections (search for [SECTION]):
 //   Input        entries of the platform's host list
@@ -35,7 +36,7 @@
 
 /// Members by descending rendezvous score for the subject. The result is the same on all processes that know the same members.
 auto rankMembers(const std::string &subject, std::vector<std::string> members) -> std::vector<std::string>;
-/// The first `count` of the ranking.
+/// The first `count` members in the order of rankMembers().
 auto memberSubset(const std::string &subject, std::vector<std::string> members, std::size_t count) -> std::vector<std::string>;
 
 // [SECTION] Membership
@@ -59,7 +60,7 @@
 struct MembershipOptions {
     Duration suspectAfter = Duration::seconds(1.5); ///< three heartbeats missed
     Duration deadAfter = Duration::seconds(5);
-    Duration forgetAfter = Duration::seconds(300); ///< without messages, until a member that isn't listed is dropped
+    Duration forgetAfter = Duration::seconds(300); ///< a member that isn't listed is dropped after this time without messages
     double distrustedLossShare = 0.5; ///< a list that lacks this share or more of the listed members isn't trusted...
     Duration distrustPeriod = Duration::seconds(60); ///< ...until it has lacked them for this long
 };
--- a/src/core/orderlease.cpp
+++ b/src/core/orderlease.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr std::size_t MaxRemembered = 256; ///< own writes, and own digests
+constexpr std::size_t MaxRemembered = 256; ///< limit for remembered own writes, and for remembered own digests
 
 /// Spreads the first attempts of the gateways over `range`. Constant for one run of a gateway process.
 auto staggerDelay(const HolderName &self, Duration range) -> Duration
@@ -119,7 +119,7 @@
     return m_version;
 }
 
-/// When the digest was sent that this peer confirmed last.
+/// Sending time of the last digest that this peer confirmed.
 auto OrderLease::confirmedAt(const EntryId &peer) const -> std::optional<TimePoint>
 {
     const auto known = m_confirmedDigests.find(peer);
@@ -245,8 +245,10 @@
     m_holder = row.writer;
     const auto until = takeoverAllowedAt();
     if (now < until) {
-        m_mustRead = true; // at the end of the wait, to see whether the row is unchanged
-        m_nextAttempt = std::min(until, now + m_options.duration); // read earlier, as a newer row may name this gateway as a candidate
+        // The row is read again at the end of the wait, to see whether it is unchanged, or after the lease duration if that is earlier, as a newer row may
+        // name this gateway as a candidate.
+        m_mustRead = true;
+        m_nextAttempt = std::min(until, now + m_options.duration);
     }
 }
 
@@ -312,7 +314,7 @@
 auto OrderLease::holderAnnounced(const HolderName &holder, Fence fence, std::uint64_t sequence, RowVersion version, TimePoint now) -> void
 {
     if (holder == m_self || (m_holds && fence < m_fence)) {
-        return; // own digest, or one of a former holder that doesn't know yet that it was succeeded
+        return; // own digest, or the digest of a former holder that doesn't know its successor yet
     }
     m_holder = holder;
     m_holderSequence = sequence;
--- a/src/core/orderlease.h
+++ b/src/core/orderlease.h
@@ -2,18 +2,19 @@
 // over when its holder has gone. No I/O: rows read, outcomes of writes and digests received go in with a time; the next step comes out.
 //
 // Two holders must never give orders at the same time, since the runners of some deployments act on any order that arrives. Therefore
-//   - a holder stops before its lease ends; the lease counts from before the write that renewed it was sent;
+//   - a holder stops before its lease ends; the lease counts from the moment at which the write that renewed it was sent;
 //   - a successor takes the row only if, by its own clock, for a whole lease the row didn't change and no digest arrived from the holder;
 //   - a gateway that restarted on the holder's own host waits only until the last orders of the former process have arrived: one host runs one
 //     gateway, so that process has ended. If all gateways are killed at once, runners are without orders for one second instead of four.
-// Clocks of different hosts are never compared. Each must count the time for which its host was suspended.
+// Clocks of different hosts are never compared. Each gateway's clock must include the time for which its host was suspended.
 //
 // The second condition lets a holder continue while the store is unavailable: as long as every gateway that may succeed it has recently confirmed one of
-// its digests, none of them can have waited a whole lease. Otherwise each request that needs an adapter loaded would wait while the store is unavailable.
+// its digests, none of them can have waited a whole lease. If the holder stopped instead, each request that needs an adapter loaded would wait while the
+// store is unavailable.
 //
-// Among a hundred gateways one is always restarting or gone. So the holder names a few live gateways in the row as candidates and needs the confirmation
-// of these only. Any other gateway waits much longer for an unchanged row (nonCandidateWait), and the holder relies on the candidates alone for less than
-// that time.
+// Among a hundred gateways at least one is nearly always restarting or down, so the holder can't rely on the confirmation of all. It names a few live
+// gateways in the row as candidates and needs the confirmation of these only. Any other gateway waits much longer before it takes an unchanged row
+// (nonCandidateWait), and the holder relies on the candidates alone for less than that time.
 //
 // Index of sections (search for [SECTION]):
 //   Candidates   gateways that may succeed the holder without the longer wait
@@ -69,10 +70,10 @@
     Duration duration = Duration::seconds(3);
     Duration margin = Duration::millis(300); ///< a holder stops this long before its lease ends, so that an order in flight arrives in time
     Duration renewAfter = Duration::millis(1200); ///< leaves time for two more attempts within a lease of 3 s
-    Duration retryAfter = Duration::millis(300); ///< after a failed attempt
+    Duration retryAfter = Duration::millis(300); ///< delay after a failed attempt
     Duration stagger = Duration::millis(400); ///< the first attempts of the gateways are spread over this time
-    Duration nonCandidateWait = Duration::seconds(12); ///< before a gateway that is no candidate takes an unchanged row; four times the duration
-    Duration holderSilence = Duration::seconds(1); ///< without a digest of the holder, before the row is read: the time of five digests
+    Duration nonCandidateWait = Duration::seconds(12); ///< wait of a gateway that is no candidate for an unchanged row; four times the duration
+    Duration holderSilence = Duration::seconds(1); ///< the row is read after this time without a digest of the holder; five digest periods
 };
 
 // [SECTION] OrderLease
@@ -85,10 +86,10 @@
     // Queries
     auto mayOrder(TimePoint now) const -> bool; ///< this gateway holds the lease, and the lease is valid
     auto isHolder() const -> bool; ///< this gateway wrote the row last, as far as it knows; mayOrder() says whether the lease is still valid
-    auto fence() const -> Fence; ///< of the current or last term; 0: never held
+    auto fence() const -> Fence; ///< of this gateway's current or last term; 0 if it never held the lease
     auto holder() const -> const HolderName &; ///< from the last digest or read; may be this gateway
     auto lastHolderSequence() const -> std::uint64_t; ///< number of the last digest received from the holder
-    auto version() const -> RowVersion; ///< of the row as last read, written or announced
+    auto version() const -> RowVersion; ///< version of the row as last read, written or announced
     auto nextStep(TimePoint now) const -> LeaseStep;
 
     // Commands: the row
@@ -101,13 +102,14 @@
     auto readFailed(TimePoint now) -> void;
 
     // Commands: other gateways
-    /// Received a digest of a gateway that holds the lease. `version`: of the row as the holder wrote it last. It counts like a read of the row, so that a
-    /// successor's wait begins with it and not only once the holder is found to be silent.
+    /// Received a digest of a gateway that holds the lease. `version`: the version of the row as the holder wrote it last. The digest counts like a read of the
+    /// row, so that a successor's wait begins with it and not only once the holder is found to be silent.
     auto holderAnnounced(const HolderName &holder, Fence fence, std::uint64_t sequence, RowVersion version, TimePoint now) -> void;
     /// This gateway sends a digest with this sequence number.
     auto digestSent(std::uint64_t sequence, TimePoint now) -> void;
-    /// Another gateway reports the last digest of this gateway that it received. This doesn't extend a lease that has ended: a gateway that received nothing
-    /// for long enough may be taking the row by now, and still receives digests meanwhile. After the end only the row decides.
+    /// Another gateway reports the last digest of this gateway that it received. A confirmation doesn't extend a lease that has ended: a
+    /// gateway that received no digest for a whole lease may already be taking the row, and it still confirms digests that arrive meanwhile. After the end
+    /// of the lease only the row shows who holds it.
     auto peerConfirmed(const EntryId &peer, std::uint64_t sequence, TimePoint now) -> void;
     /// Sets all other gateways. If the row names no candidates, each of them must confirm digests for the lease to be extended while the store is unavailable.
     auto setPeers(const std::set<EntryId> &peers) -> void;
@@ -123,8 +125,8 @@
     };
     auto validUntil() const -> TimePoint;
     auto confirmedAt(const EntryId &peer) const -> std::optional<TimePoint>;
-    auto confirmedByAll() const -> std::optional<TimePoint>; ///< when the oldest was sent of the digests that the peers confirmed last
-    auto confirmedByCandidates() const -> std::optional<TimePoint>; ///< the same for the required candidates; none also if all gateways are candidates
+    auto confirmedByAll() const -> std::optional<TimePoint>; ///< sending time of the oldest among the digests that the peers confirmed last
+    auto confirmedByCandidates() const -> std::optional<TimePoint>; ///< the same over requiredConfirmers(); also none if all gateways are candidates
     auto requiredConfirmers() const -> std::optional<std::set<EntryId>>; ///< none if all gateways are candidates
     auto takeoverAllowedAt() const -> TimePoint;
     auto lose() -> void;
@@ -135,23 +137,23 @@
     TimePoint m_startedAt;
     bool m_holds = false;
     Fence m_fence;
-    RowVersion m_version; ///< of the row as last read, written or announced
+    RowVersion m_version; ///< version of the row as last read, written or announced
     TimePoint m_versionSeenAt; ///< when this gateway first saw that version
     bool m_isRowKnown = false;
     bool m_mustRead = true;
     bool m_isRequestInFlight = false;
     TimePoint m_nextAttempt;
     TimePoint m_renewedAt; ///< when the last write that took effect was sent
-    std::map<std::uint64_t, Write> m_writes; ///< own ones, by number
+    std::map<std::uint64_t, Write> m_writes; ///< this gateway's writes of the row, by number
     std::uint64_t m_lastWrite = 0;
-    std::uint64_t m_lastEffectiveWrite = 0; ///< number of the last one known to have taken effect
-    std::vector<EntryId> m_candidates; ///< for the next write
+    std::uint64_t m_lastEffectiveWrite = 0; ///< number of this gateway's last write that is known to have taken effect
+    std::vector<EntryId> m_candidates; ///< candidates that the next write will name
     std::set<EntryId> m_peersIgnoringCandidates;
     bool m_isCandidate = true; ///< according to the row as last read
     HolderName m_holder;
     std::uint64_t m_holderSequence = 0;
     TimePoint m_holderSeenAt;
-    std::map<std::uint64_t, TimePoint> m_digestSentAt; ///< of own digests, by sequence number
+    std::map<std::uint64_t, TimePoint> m_digestSentAt; ///< sending times of own digests, by sequence number
     std::map<EntryId, std::uint64_t> m_confirmedDigests; ///< per peer: the last own digest that it confirmed; 0: none
 };
 
--- a/src/core/rowmirror.h
+++ b/src/core/rowmirror.h
@@ -1,5 +1,5 @@
-// A copy of one table of the store that may be fed from several sources: an own watch of the store, and other gateways that watch it. A row that isn't newer
-// than the known one is ignored, so messages of the sources may overlap and arrive in any order. No I/O.
+// A copy of one table of the store that may be fed from several sources: this gateway's own watch of the store, and other gateways that watch it. A row that
+// isn't newer than the known one is ignored, so messages of the sources may overlap and arrive in any order. No I/O.
 #pragma once
 
 #include "core/ids.h"
@@ -15,7 +15,7 @@
 /// A row's current value, or the fact that the row was removed.
 struct StoredRow {
     std::string key;
-    RowVersion version; ///< of the row's last change; versions rise over the whole store
+    RowVersion version; ///< version of the row's last change; versions rise over the whole store
     std::string value;
     bool isRemoved = false;
 };
@@ -24,8 +24,8 @@
 {
 public:
     auto isLoaded() const -> bool; ///< a whole table was applied at least once
-    auto version() const -> RowVersion; ///< of the newest known change
-    auto checksum() const -> std::uint64_t; ///< over keys and versions of the existing rows: equal for mirrors with the same rows
+    auto version() const -> RowVersion; ///< version of the newest known change
+    auto checksum() const -> std::uint64_t; ///< checksum over keys and versions of the existing rows: equal for mirrors with the same rows
     auto rows() const -> std::vector<StoredRow>; ///< existing rows, ordered by key
 
     /// Applies the whole table as of version `upTo`: a known row that isn't in it was removed by then. Returns the rows that this changed.
--- a/src/core/runonce.cpp
+++ b/src/core/runonce.cpp
@@ -30,11 +30,11 @@
     AttemptId attempt; ///< attempt id of the own claim
     RowVersion version; ///< Claiming: the version that the write expects; later the version of the claim's row
     std::int64_t keepUntilMs = 0;
-    bool inFlight = false; ///< Claiming: in a transaction that has no answer yet
-    bool wasLost = false; ///< Claiming: a transaction with it was sent, and the answer was lost
+    bool inFlight = false; ///< Claiming: the claim's write is in a transaction that has no answer yet
+    bool wasLost = false; ///< Claiming: the answer to a transaction with the claim's write was lost
     std::optional<TimePoint> readAt; ///< Checking, ClaimedElsewhere: when to read the row
     bool readSent = false;
-    std::optional<RunRecord> record; ///< Recording, Remembered: the answer; none: whether the request ran is unknown
+    std::optional<RunRecord> record; ///< Recording, Remembered: the answer of the run; none if it is unknown whether the request ran
 
     auto maybeWritten() const -> bool
     {
@@ -142,8 +142,8 @@
     entry.waiting.clear();
 }
 
-// At its deadline a send is answered with what is known. "Not run" requires that no write of the claim was ever sent: a claim whose answer was lost may
-// make later sends of the key unknown, and after a claim by another agent the key may have run.
+// At its deadline a send is answered with what is known. "Not run" requires that no write of the claim can have taken effect: a claim whose answer was
+// lost may make the outcome of later sends of the key unknown, and if another agent has claimed the key, the request may have run.
 auto RunOnce::Private::answerExpired(const KeyEntry &entry, SendId send) -> void
 {
     if (entry.phase == Phase::Claiming && !entry.maybeWritten()) {
@@ -294,9 +294,9 @@
         entry.phase = Phase::Checking;
         scheduleRead(row, entry, now);
     } else if (entry.phase == Phase::Recording) {
-        keepInMemory(row, entry); // an earlier attempt of this write took effect and its answer was lost
+        keepInMemory(row, entry); // an earlier try of this write took effect and its answer was lost
     } else if (entry.phase == Phase::Releasing) {
-        released(row, entry, now); // an earlier attempt took effect and its answer was lost
+        released(row, entry, now); // an earlier try of this write took effect and its answer was lost
     }
 }
 
--- a/src/core/runonce.h
+++ b/src/core/runonce.h
@@ -1,14 +1,15 @@
-// Requests that must run at most once: each key gets a durable claim before its request is forwarded. No I/O: events in, actions out.
+// Runs requests at most once: a durable claim of the request's idempotency key is written before the request is forwarded. No I/O: events in, actions out.
 //
-// Each agent has one RunOnce. For each request a row with the request's key is written to the platform's table, only if there is none, and the request is
-// forwarded only after that. Nobody runs a key that another has claimed, so it doesn't matter when a paused claimant continues, or which entry a duplicate
-// comes through. After the run the answer is written to the same row, and duplicates are answered from it.
+// Each agent has one RunOnce. The claim is a row of the platform's table, which is written on the condition that the key has no row yet or that its row is an
+// unchanged release of an earlier claim. The request is forwarded only after this write has succeeded. An agent never forwards a request whose key is claimed
+// by another attempt, so two agents can't both run it, even if one of them was paused after its claim or the duplicate arrived through another entry. After the
+// run the answer is written to the same row, and duplicates are answered from it.
 //
-// A write whose answer was lost may take effect later, so reading that the row is absent doesn't prove that the write never will. Instead the same claim,
-// with the same attempt id, is written again, only if there is no row. Either this write takes effect, and then the first one can't any more, or the row
-// exists, and its attempt id tells whose claim it is. Until one of the two is known the request is not run, and its caller gets "unknown".
+// A write whose answer was lost may still take effect later, even if a read finds no row. So the agent doesn't rely on a read but repeats the write with
+// the same attempt id and on the same condition. If the repeated write takes effect, the earlier one no longer meets the condition. If the row exists, its
+// attempt id tells whose claim it is. Until one of the two is known, the request is not forwarded, and at its deadline the caller gets "unknown".
 //
-// An answer "not run" is about one send: it was never forwarded, and this agent won't forward it.
+// The answer "not run" applies to one send: the send was never forwarded and this agent won't forward it. It says nothing about other sends of the key.
 //
 // Index of sections (search for [SECTION]):
 //   Keys       keys of claims and of their rows
@@ -133,11 +134,11 @@
     double minWritesPerSecond = 2;
     double maxWritesPerSecond = 300;
     std::size_t batchesInFlight = 4;
-    Duration retryDelay = Duration::millis(50); ///< after a refused or lost write, and after a failed read
-    Duration pollPeriod = Duration::millis(200); ///< between reads of a row that another agent has claimed
+    Duration retryDelay = Duration::millis(50); ///< delay after a refused or lost write, and after a failed read
+    Duration pollPeriod = Duration::millis(200); ///< time between reads of a row that another agent has claimed
     std::size_t maxRecordBytes = 16U << 10U; ///< size limit of an answer's headers and body together; a larger answer isn't kept
-    std::size_t maxRemembered = 2048; ///< ended keys whose result is kept in memory
-    std::size_t maxOpenKeys = 4096; ///< keys that have not ended; a send of a further key is answered "not run"
+    std::size_t maxRemembered = 2048; ///< maximum number of ended keys whose result is kept in memory
+    std::size_t maxOpenKeys = 4096; ///< limit of openKeys(); a send of a further key is answered "not run"
 };
 
 // [SECTION] RunOnce
--- a/src/core/sharedretrybudget.h
+++ b/src/core/sharedretrybudget.h
@@ -1,8 +1,8 @@
-// Retry budget: limits resends, that is, the sends of a request after its first. When targets fail, every request would be sent again and the healthy
+// Retry budget: limits resends, that is, each send of a request after the first one. When targets fail, every request would be sent again and the healthy
 // targets would get twice their load. So resends are limited to a share of the requests, over all gateways together.
 //
 // Each gateway applies its part of the limit: the share of its own requests plus an equal part of the fixed allowance. Only requests of the window
-// just passed count, so that a gateway can't spend the budget of requests still to come. Pure.
+// just passed count, so that a gateway can't spend the budget of requests still to come. No I/O.
 #pragma once
 
 #include "core/units.h"
--- a/src/core/sharedusage.cpp
+++ b/src/core/sharedusage.cpp
@@ -89,7 +89,7 @@
         silent += peer.isSilent ? 1 : 0;
     }
     const double share = 1 - static_cast<double>(silent) / static_cast<double>(m_peers.size() + 1);
-    // A lower share also applies to the time since the last refill, in which the peer was silent already; a higher one applies only from now on.
+    // A lower share also applies to the time since the last refill, because the peer was already silent then; a higher share applies only from now on.
     if (share > m_share) {
         refillAll(now);
     }
--- a/src/core/sharedusage.h
+++ b/src/core/sharedusage.h
@@ -1,11 +1,12 @@
-// Usage limits of client accounts, enforced over all gateways together. Pure.
+// Usage limits of client accounts, enforced over all gateways together. No I/O.
 //
-// Each gateway keeps a token bucket per account. It charges the bucket with its own requests at once and with those of the other gateways when their
-// reports arrive. So the buckets of all gateways agree except for the last report period. An account can exceed its limit by what it sends in that time;
-// the bucket's level then becomes negative, and the account pays it back. No gateway owns an account, so there is nothing to hand over when one fails.
+// Each gateway keeps a token bucket per account. It charges the bucket with its own requests at once and with those of the other gateways when their reports
+// arrive. So the buckets of all gateways agree except for the usage since the last reports. An account can exceed its limit by this usage; the bucket's level
+// then becomes negative, and the account must wait until the bucket has been refilled. No gateway owns an account, so there is nothing to hand over when one
+// fails.
 //
-// A silent gateway, one whose reports have stopped, may be partitioned from this one and still serve. So an equal share of each limit is reserved for it,
-// and a gateway whose peers are all silent uses only its own share. The limits therefore hold on both sides of a partition, and a gateway that resumes
+// A silent gateway, one whose reports have stopped, may be partitioned from this one and still serve. So an equal share of each limit is reserved for that
+// gateway, and a gateway whose peers are all silent uses only its own share. The limits therefore hold on both sides of a partition, and a gateway that resumes
 // after a pause can't spend what the others have used meanwhile.
 //
 // Index of sections (search for [SECTION]):
@@ -31,9 +32,10 @@
 
 struct SharedUsageOptions {
     Duration silentAfter = Duration::millis(600); ///< a gateway that hasn't reported for this long is silent: a share is reserved for it
-    Duration forgetSilentAfter = Duration::seconds(30); ///< no share is reserved after this time without a report; a partition may last as long
-    Duration learningPeriod = Duration::millis(1000); ///< after the start; accounts that no gateway has reported by then count as unused
-    double coldStartAllowance = 20000; ///< initial tokens of each account, beyond its rate, when all gateways have started together
+    Duration forgetSilentAfter = Duration::seconds(30); ///< after this time without a report no share is reserved any more; a partition may last this long
+    Duration learningPeriod = Duration::millis(1000); ///< period after the start; at its end, accounts that no gateway has reported count as unused
+    /// Tokens added to each account's bucket, beyond its rate and up to its capacity, when all gateways have started together.
+    double coldStartAllowance = 20000;
     double maxUnreportedShare = 0.2; ///< share of an account's burst that all gateways together may use before a report is urgent
     double nearlyExhaustedShare = 0.3; ///< an account with less than this share of its burst left is reported urgently
     Duration maxReportDelay = Duration::seconds(1); ///< smaller amounts are reported within this time
--- a/src/core/storewatchers.h
+++ b/src/core/storewatchers.h
@@ -1,8 +1,8 @@
-// Which gateways watch the store themselves. No I/O.
+// Decides which gateways watch the store themselves. No I/O.
 //
 // Normally these are the first few of a ranking that is the same on all gateways. While none of them reaches the store, the next ones in the ranking join,
-// up to a limit: if the store refuses only some hosts, another one reaches it, and if it is unavailable for all, retries of a hundred gateways would only
-// add to its load.
+// up to a limit: if the store refuses only some hosts, a gateway on another host reaches it. The limit is for a store that is unavailable to all: retries
+// of a hundred gateways would only add to its load.
 #pragma once
 
 #include "core/units.h"
--- a/src/core/suspects.h
+++ b/src/core/suspects.h
@@ -22,13 +22,14 @@
 auto toString(Verdict verdict) -> const char *;
 
 struct SuspectsOptions {
-    std::size_t maxRecords = 4096; ///< fingerprints kept; beyond it suspected ones are evicted before quarantined ones, and those that expire first go first
+    /// Maximum number of fingerprints. Beyond it suspected ones are evicted before quarantined ones, and in each group those that expire first.
+    std::size_t maxRecords = 4096;
     Duration suspectFor = Duration::seconds(600);
     Duration quarantineFor = Duration::seconds(86400);
 };
 
-/// A suspected fingerprint and the crashes at which it was in flight, as "TARGET#GENERATION". They identify a crash: otherwise one crash that two processes
-/// report would count as two, and an innocent request would be quarantined.
+/// A suspected fingerprint and the crashes at which it was in flight, as "TARGET#GENERATION". This text identifies a crash: without it
+/// one crash that two processes report would count as two, and an innocent request would be quarantined.
 struct Suspicion {
     std::string fingerprint;
     std::vector<std::string> crashes;
@@ -55,14 +56,15 @@
     auto targetCrashed(const TargetId &target, std::uint64_t generation, const std::vector<std::string> &inFlight, TimePoint now) -> void;
     /// A suspected request ran alone to its end: its suspicion is cleared.
     auto completedAlone(const std::string &fingerprint, TimePoint now) -> void;
-    /// Merges a digest of another process. This never extends a record, so that two processes can't keep it alive by sending it to each other.
+    /// Merges a digest of another process. A digest doesn't extend a suspicion or quarantine that is already known here, so that two processes can't keep a
+    /// record alive by sending it to each other.
     auto merge(const SuspectDigest &digest, TimePoint now) -> void;
     auto expire(TimePoint now) -> void; ///< drops expired records; call about once a second
 
 private:
     struct Record {
         bool quarantined = false;
-        bool isQuarantineOver = false; ///< the quarantine has expired: digests with it are ignored
+        bool isQuarantineOver = false; ///< the quarantine has expired: digests that list the fingerprint as quarantined are ignored
         bool cleared = false; ///< no longer suspected; kept for suspectFor so that a digest doesn't restore the suspicion
         TimePoint expiresAt;
         std::set<std::string> crashes; ///< "target#generation"
--- a/src/core/table.h
+++ b/src/core/table.h
@@ -35,7 +35,7 @@
     auto operator==(const TableOp &) const -> bool = default;
 };
 
-/// The most operations that one transaction may hold.
+/// The maximum number of operations in one transaction.
 constexpr std::size_t MaxTransactionOps = 100;
 
 enum class TransactOutcome {
--- a/src/core/targetinfo.h
+++ b/src/core/targetinfo.h
@@ -24,7 +24,7 @@
 /// A model that is resident on a runner.
 struct ResidentModel {
     std::string name;
-    std::uint64_t version = 0; ///< of the weights
+    std::uint64_t version = 0; ///< version of the weights
     std::vector<std::string> adapters; ///< loaded and ready to use
     bool isDraining = false; ///< will be unloaded when its last stream has ended; gets new requests only if no other replica can take them
 
@@ -48,8 +48,8 @@
     std::string softwareVersion;
     int slots = 0; ///< concurrent requests
     bool isLeaving = false; ///< takes no new work
-    std::optional<Duration> terminatesIn; ///< set when leaving at short notice: requests that still run after this time are cut off
-    Duration warmupRemaining; ///< the target is slow for this long yet, since it started recently
+    std::optional<Duration> terminatesIn; ///< set if the target leaves at short notice: requests that still run after this time are cut off
+    Duration warmupRemaining; ///< the target started recently and remains slow for this long
     std::vector<ResidentModel> models;
     std::vector<std::string> weightsInMemory; ///< models whose weights are cached in the target's own memory
     std::vector<std::string> weightsOnDisk; ///< models whose weights are cached on the target's own disk
@@ -64,9 +64,9 @@
     std::vector<ResidentModel> models;
     std::vector<std::string> adaptersLoading; ///< "MODEL/ADAPTER", being fetched
     bool isBusy = false; ///< executing an order
-    std::uint64_t ordersTaken = 0; ///< orders accepted since the start
+    std::uint64_t ordersTaken = 0; ///< order count: accepted orders since the start
     int waiting = 0; ///< requests in the runner's own queue
-    int running = 0; ///< requests
+    int running = 0; ///< requests that are being executed
     std::int64_t kvUsed = 0; ///< KV cache that can't be evicted, in tokens
     std::int64_t kvTotal = 0; ///< capacity of the KV cache, in tokens
     std::vector<std::string> weightsInMemory;
--- a/src/core/versionswitch.h
+++ b/src/core/versionswitch.h
@@ -1,4 +1,5 @@
-// Selects the version that a bare model name resolves to while the current version is being replaced: the old one until the new one is resident.
+// Selects the version that a bare model name resolves to while the current version is being replaced: the old version until
+// the new one is resident somewhere or the old one no longer is.
 #pragma once
 
 #include "core/declarations.h"
