--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -143,7 +143,7 @@
     const auto host = findHeader(exchange->head().headers, "host").value_or(std::string_view());
     const auto *route = d->routes.find(host, exchange->head().target);
     if (route == nullptr) {
-        const bool isCertain = d->hooks.isTrafficCurrent();
+        const bool isCertain = d->hooks.areDeclarationsCurrent();
         d->answer(exchange,
                   traits,
                   isCertain ? HttpStatus::NotFound : HttpStatus::Unavailable,
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -42,7 +42,7 @@
 };
 
 struct ForwarderHooks {
-    std::function<bool()> isTrafficCurrent; ///< the declared traffic was confirmed recently: a route that it lacks doesn't exist
+    std::function<bool()> areDeclarationsCurrent; ///< the declared traffic was confirmed recently: a route that it lacks doesn't exist
     /// No target holds the model, or none that holds it has the adapter.
     std::function<void(const ServiceName &service, const std::string &model, const std::string &adapter)> onMissing;
     /// A target refused a request because another target has its address now, or because it lacks the model or adapter. `found` is the target that
--- a/src/gateway/freshnesstask.cpp
+++ b/src/gateway/freshnesstask.cpp
@@ -46,7 +46,7 @@
     auto readStore() -> void;
     auto onRead(const StoreAnswer &answer, TimePoint readAt) -> void;
     auto askPeers(bool isUrgent) -> void;
-    auto chooseRandom(std::vector<std::string> ids, std::size_t most) -> std::vector<std::string>;
+    auto chooseRandom(std::vector<std::string> ids, std::size_t maxCount) -> std::vector<std::string>;
 };
 
 auto FreshnessTask::Private::restartTimer() -> void
@@ -115,10 +115,10 @@
 
 // [SECTION] Peers
 
-auto FreshnessTask::Private::chooseRandom(std::vector<std::string> ids, std::size_t most) -> std::vector<std::string>
+auto FreshnessTask::Private::chooseRandom(std::vector<std::string> ids, std::size_t maxCount) -> std::vector<std::string>
 {
     std::shuffle(ids.begin(), ids.end(), random);
-    ids.resize(std::min(ids.size(), most));
+    ids.resize(std::min(ids.size(), maxCount));
     return ids;
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -108,8 +108,8 @@
     std::unique_ptr<TargetDirectory> targets;
     std::unique_ptr<Forwarder> forwarder;
     std::unique_ptr<CallerServer> callers;
-    std::unique_ptr<CallerServer> readyPage;
-    std::unique_ptr<CallerServer> metricsPage;
+    std::unique_ptr<CallerServer> readyServer;
+    std::unique_ptr<CallerServer> metricsServer;
     std::unique_ptr<Registration> registration;
     std::unique_ptr<StoreFollower> follower;
     std::unique_ptr<FreshnessTask> freshness;
@@ -158,7 +158,7 @@
     auto buildOrders() -> void;
     auto buildTargets() -> void;
     auto buildForwarder() -> void;
-    auto buildPages() -> void;
+    auto buildServers() -> void;
     auto buildStore() -> void;
     auto onRows(StoreTable table, const std::vector<StoredRow> &rows) -> void;
     auto onStoreUnreachable() -> void;
@@ -197,7 +197,7 @@
     buildOrders();
     buildTargets();
     buildForwarder();
-    buildPages();
+    buildServers();
     buildStore();
     settingsTimer = loop.every(SettingsPeriod, [this] { reload(false); });
     digestTimer = loop.every(DigestPeriod, [this] { onDigestTimer(); });
@@ -389,7 +389,7 @@
 auto Gateway::Private::buildForwarder() -> void
 {
     ForwarderHooks hooks;
-    hooks.isTrafficCurrent = [this] {
+    hooks.areDeclarationsCurrent = [this] {
         return follower->isCurrent() || loop.now() - storeUnreachableAt < CurrentAfterStoreLoss;
     };
     hooks.onMissing = [this](const ServiceName &service, const std::string &model, const std::string &adapter) {
@@ -668,16 +668,16 @@
 
 // [SECTION] Pages
 
-auto Gateway::Private::buildPages() -> void
+auto Gateway::Private::buildServers() -> void
 {
     callers = std::make_unique<CallerServer>(loop, settings.listen.callers, [this](const CallerExchangePtr &exchange) { forwarder->handle(exchange); });
     if (settings.listen.ready) {
-        readyPage = std::make_unique<CallerServer>(loop, *settings.listen.ready, [this](const CallerExchangePtr &exchange) {
+        readyServer = std::make_unique<CallerServer>(loop, *settings.listen.ready, [this](const CallerExchangePtr &exchange) {
             exchange->respond(isReady() ? HttpStatus::Ok : HttpStatus::Unavailable, {}, "");
         });
     }
     if (settings.listen.metrics) {
-        metricsPage = std::make_unique<CallerServer>(loop, *settings.listen.metrics, [this](const CallerExchangePtr &exchange) {
+        metricsServer = std::make_unique<CallerServer>(loop, *settings.listen.metrics, [this](const CallerExchangePtr &exchange) {
             const bool isKnown = exchange->head().target == "/metrics";
             exchange->respond(isKnown ? HttpStatus::Ok : HttpStatus::NotFound, {{"Content-Type", "text/plain; version=0.0.4"}}, isKnown ? metrics.text() : "");
         });
--- a/src/gateway/loadexchange.cpp
+++ b/src/gateway/loadexchange.cpp
@@ -19,7 +19,7 @@
 constexpr auto RelayReportTimeout = Duration::millis(500);
 
 /// Incarnations of gateways are named like holders of the order lease, "ID#INCARNATION".
-auto hostOfIncarnation(const EntryId &incarnation) -> std::string
+auto gatewayIdOfIncarnation(const EntryId &incarnation) -> std::string
 {
     return gatewayIdOf(HolderName(incarnation.text()));
 }
@@ -90,7 +90,7 @@
 {
     std::set<std::string> reporting;
     for (const auto &start : sum.reportedWithin(RelayReportTimeout, parts.loop.now())) {
-        reporting.insert(hostOfIncarnation(start));
+        reporting.insert(gatewayIdOfIncarnation(start));
     }
     return keeper.relays(reporting);
 }
@@ -181,7 +181,7 @@
             d->parts.peers.send(mate, frame);
         }
     }
-    const auto keeper = hostOfIncarnation(cell.keeper);
+    const auto keeper = gatewayIdOfIncarnation(cell.keeper);
     d->keeper.sumReceived(keeper, d->parts.loop.now());
     if (keeper == d->keeper.keeper() || d->isDirect()) {
         d->mergeSum(cell);
