--- a/src/gateway/accountlog.cpp
+++ b/src/gateway/accountlog.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Lines logged for one version of the declarations. Of further changed accounts only the number is logged.
+/// Maximum number of lines for one version of the declarations. For further accounts that changed, only their number is logged.
 constexpr int MaxLines = 64;
 
 using AccountsByName = std::map<AccountName, const ClientAccount *>;
--- a/src/gateway/accountlog.h
+++ b/src/gateway/accountlog.h
@@ -7,7 +7,7 @@
 namespace KingCup
 {
 
-/// Logs one line for each account that was added, changed or removed, up to a limit. Of keys only the number is logged.
+/// Logs one line for each account that was added, changed or removed, up to a limit. For the keys of an account, only their number is logged.
 auto logAccountChanges(EventLog &log, const AccountTable &before, const AccountTable &after) -> void;
 
 } // namespace KingCup
--- a/src/gateway/callerserver.cpp
+++ b/src/gateway/callerserver.cpp
@@ -200,7 +200,8 @@
     m_server->handler(m_exchange);
 }
 
-/// Answers a request that is malformed, too large or too slow, without calling the handler. The connection can't be used any more.
+/// Answers a request that is malformed, too large or too slow, without calling the handler. The connection is closed then: it isn't known where the next
+/// request begins.
 auto CallerConnection::refuse(int status) -> void
 {
     ++m_server->counts.malformed;
--- a/src/gateway/copyuse.cpp
+++ b/src/gateway/copyuse.cpp
@@ -73,7 +73,7 @@
             m_draining.emplace(target, model);
         }
     }
-    // Reports from an earlier move of the same replica must not count for a later one.
+    // Counts that were reported during an earlier move must not be used if the same replica drains again.
     std::erase_if(m_reported, [&](const auto &report) { return !m_draining.contains(report.first); });
 }
 
--- a/src/gateway/copyuse.h
+++ b/src/gateway/copyuse.h
@@ -5,7 +5,7 @@
 //
 // Index of sections (search for [SECTION]):
 //   Hooks     callbacks
-//   CopyUse   the state
+//   CopyUse   the counts
 #pragma once
 
 #include "core/copyplan.h"
@@ -34,7 +34,7 @@
     explicit CopyUse(CopyUseHooks hooks);
 
     // Queries
-    /// Streams at each draining replica, summed over this gateway and `peers`. Leaves out replicas for which a peer hasn't reported yet.
+    /// Streams at each draining replica, summed over this gateway and `peers`. Leaves out a replica as long as any of the peers hasn't reported its count.
     auto streams(const std::set<std::string> &peers) const -> std::map<CopyKey, int>;
 
     // Commands: while another gateway holds the lease
--- a/src/gateway/demandexchange.cpp
+++ b/src/gateway/demandexchange.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Overload of the same adapter is reported at most once in this time. Its second copy is loaded within some tens of milliseconds, or there is no slot for it
-/// for a while.
+/// Overload of the same adapter is reported at most once in this time. The lease holder either loads a second replica of the adapter within some tens of
+/// milliseconds, or has no free slot for one for a while; in both cases an earlier report would change nothing.
 constexpr auto OverloadReportPeriod = Duration::millis(300);
 constexpr auto DemandBucket = Duration::millis(500);
 /// Weights of the forecast for rising and falling demand. Demand moves between models within four to nine seconds. A fall must be noticed as quickly as a rise,
@@ -114,7 +114,7 @@
     m_requested.clear();
     m_adapterUses.clear();
     if (m_parts.orders.mayOrder()) {
-        message->clear_uses(); // the order task got these by adapterUsed()
+        message->clear_uses(); // adapterUsed() has already recorded these in the order task
         onDemand(*message);
     } else if (message->asked_size() > 0 || message->uses_size() > 0) {
         m_parts.peers.send(holderId(), frame);
@@ -138,7 +138,7 @@
     const ServiceName service(message.service());
     auto &orders = m_parts.orders;
     if (!orders.mayOrder()) {
-        // Other gateways know the new lease holder from the lease's row, which names it before it may give orders.
+        // Other gateways learn of a new lease holder from the lease's row, which names it before it may give orders. So they may send it artifacts too early.
         orders.addPending(service, message.model(), message.adapter());
     } else if (message.another()) {
         orders.adapterOverloaded(service, message.model(), message.adapter());
--- a/src/gateway/demandexchange.h
+++ b/src/gateway/demandexchange.h
@@ -1,6 +1,6 @@
 // Reports this gateway's demand to the lease holder: requests by model, uses of adapters, and the artifacts that requests wait for.
 //
-// Only the lease holder needs these reports. Sent to all gateways, the names of models would be the larger part of the traffic between them.
+// Only the lease holder needs these reports. If they were sent to all gateways, the names of models would be the larger part of the traffic between gateways.
 //
 // Index of sections (search for [SECTION]):
 //   Parts            dependencies
@@ -45,7 +45,7 @@
     auto modelRequested(const std::string &model) -> void; ///< a request for it has arrived, whether or not a replica was found
     auto adapterUsed(const TargetId &target, const std::string &model, const std::string &adapter) -> void;
     auto artifactMissing(const MissingArtifact &artifact) -> void; ///< a request waits for it
-    auto adapterOverloaded(const MissingArtifact &adapter) -> void; ///< the only runner with it is too busy
+    auto adapterOverloaded(const MissingArtifact &adapter) -> void; ///< the only runner that holds it is too busy
     auto advance() -> void; ///< call a few times a second: reports what was counted since the last call
 
     // Commands: other gateways
@@ -62,8 +62,8 @@
     DemandForecast m_demand;
     std::map<std::string, int> m_requested; ///< requests by model since the last report
     std::map<std::string, std::pair<TargetId, std::string>> m_adapterUses; ///< since the last report; target and "MODEL/ADAPTER"
-    std::map<std::string, TimePoint> m_overloadedAt; ///< when overload was last reported, by "MODEL/ADAPTER"
-    Fence m_announcedFence; ///< of the lease holder to which the pending artifacts were last sent
+    std::map<std::string, TimePoint> m_overloadedAt; ///< when the overload of an adapter was last reported, by "MODEL/ADAPTER"
+    Fence m_announcedFence; ///< fence of the lease holder to which the pending artifacts were last sent
 };
 
 } // namespace KingCup
--- a/src/gateway/digests.h
+++ b/src/gateway/digests.h
@@ -38,7 +38,7 @@
 auto gatewayLoadOf(const Wire::GatewayLoad &message, const TargetNames &names) -> GatewayLoad;
 
 auto cellLoadFrame(const CellLoad &cell) -> Wire::ControlFrame;
-/// Of the sequence numbers by gateway, reads only that of `self`.
+/// From the sequence numbers of the reporting gateways, reads only the number of `self`.
 auto cellLoadOf(const Wire::CellLoad &message, const EntryId &self, const TargetNames &names) -> CellLoad;
 
 auto residencyFrame(const TargetDescription &target) -> Wire::ControlFrame;
--- a/src/gateway/forwardedanswer.cpp
+++ b/src/gateway/forwardedanswer.cpp
@@ -29,7 +29,8 @@
     return AnswerVerdict::Accept;
 }
 
-/// Status and headers go to the client with the first bytes of the body: a stream that breaks before them can still be sent to another target.
+/// Status and headers go to the client only with the first bytes of the body: if the stream breaks before these, the request can still be resent to another
+/// target.
 auto ForwardedRequest::beginForwarding() -> void
 {
     m_isForwarding = true;
@@ -234,7 +235,7 @@
     abandon(HttpStatus::BadGateway, "target-broke-off");
 }
 
-/// Computed once and only on demand: it hashes the whole body, and waiting requests are checked several times a second.
+/// The fingerprint is computed once and only on demand: this hashes the whole body, and waiting requests are checked several times a second.
 auto ForwardedRequest::fingerprint() -> std::uint64_t
 {
     if (!m_fingerprint) {
--- a/src/gateway/forwardedrequest.cpp
+++ b/src/gateway/forwardedrequest.cpp
@@ -34,12 +34,12 @@
 constexpr int DemotedStep = 2;
 /// Share of a route's goal. If the backlog at the only target with an adapter takes longer, the adapter is requested on another target.
 constexpr double OverloadBacklogShare = 0.25;
-/// Duration of a stream of about a hundred tokens after its first one. With less time left, it would be cut off.
+/// Time that a stream of about a hundred tokens takes after its first token. With less time left before the deadline, it would be cut off.
 constexpr auto MinStreamTime = Duration::millis(600);
-/// Longest Retry-After of overload: an overload that lasts seconds is over by then, or won't be over soon. Clients come back within a third of the time that
-/// they have left.
+/// Maximum Retry-After of requests that are refused because of overload. An overload of a few seconds is over by then, and a longer one won't end soon.
+/// Clients come back within a third of the time that they have left.
 constexpr auto MaxRetryAfter = Duration::millis(1500);
-/// Retry-After of a request that crashes targets: its record has expired by then.
+/// Retry-After of a request that crashes targets: the record of these crashes has expired by then.
 constexpr auto BarredRetryAfter = CrashRepeatOptions().lifetime;
 /// A request with less time left isn't sent: the quickest answers take about as long.
 constexpr auto MinSendTime = Duration::millis(10);
@@ -145,7 +145,7 @@
 }
 
 /// Admits the request if it can meet its goal. Otherwise demotes it behind all requests that still can, provided that it would be answered before its
-/// caller gives up and before its deadline; else refuses it. If all of them shared one queue, a runner with half more load than it can handle would
+/// caller gives up and before its deadline; else refuses it. If all requests shared one queue, a runner with half more load than it can handle would
 /// soon answer every request late, and its streams would stall behind prefill.
 auto ForwardedRequest::admit(const DispatchChoice &choice) -> bool
 {
@@ -267,7 +267,7 @@
     call.body = m_exchange->body();
     call.maxIdleTime = m_route.mayRepeat() ? Duration::seconds(60) : m_owner.parts.reuse.limit(now());
     if (choice.isLastResort) {
-        call.maxIdleTime = Duration(); // a failed connect shows that the target is down before the request is sent
+        call.maxIdleTime = Duration(); // 0 forces a new connection: if the target is down, connecting fails, and the request certainly wasn't sent
     }
     call.onHead = [this](const HttpHead &head) {
         return onHead(head);
--- a/src/gateway/forwardedrequest.h
+++ b/src/gateway/forwardedrequest.h
@@ -142,12 +142,12 @@
     int m_possibleRuns = 0; ///< ended sends whose request may have run
     HttpHead m_head; ///< of the latest answer
     AnswerTraits m_answer;
-    std::string m_bufferedBody; ///< its body, where it is kept until it is complete
+    std::string m_bufferedBody; ///< body of the latest answer, if it is kept until it is complete
     bool m_hasHead = false;
     bool m_isForwarding = false; ///< the body goes to the client as it arrives
     std::optional<EventCursor> m_events; ///< set for a stream that another target may resume
-    std::size_t m_forwardedBytes = 0; ///< over all sends
-    std::size_t m_answerBytes = 0; ///< of the latest send
+    std::size_t m_forwardedBytes = 0; ///< bytes of bodies sent to the client, over all sends
+    std::size_t m_answerBytes = 0; ///< bytes of the body received from the latest send
     std::optional<Duration> m_firstBytesAfter; ///< from the request's first byte to the first bytes of the answer's body
     Duration m_longestPause; ///< between two pieces of the answer's body
     Duration m_pauseEndedAfter; ///< from the request's first byte to the end of the longest pause
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// With more accounts, all are counted in one series: each account is a time series of its own in the metrics.
+/// Each account is a time series of its own in the metrics. With more accounts than this, all are counted in one series.
 constexpr std::size_t MaxAccountSeries = 128;
 /// With a shorter time, a client would come back before the other gateways have reported their usage.
 constexpr auto MinLimitRetryAfter = Duration::millis(200);
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -53,14 +53,15 @@
     std::function<void(const DispatchRequest &request)> onRequest; ///< called once for each request
     std::function<void(const AccountName &account)> onAdmitted; ///< a request was charged to the account
     std::function<void(const TargetId &target, const DispatchRequest &request, SendId send)> onSent;
-    std::function<void(std::uint64_t fingerprint, int breaks)> onCrashRepeat; ///< a break of this request was counted: tell the other gateways
+    /// A target broke off while it ran this request, and the break was counted: the other gateways must learn of it.
+    std::function<void(std::uint64_t fingerprint, int breaks)> onCrashRepeat;
 };
 
 struct ForwarderOptions {
     std::uint64_t seed = 1; ///< of the random number generator
     std::size_t streamBuffer = 256U << 10U; ///< bytes pending towards a client above which reading from its target is paused
     std::size_t maxBufferedAnswer = 1U << 20U; ///< bytes of an answer kept until it is complete; longer ones are forwarded as they arrive
-    int maxSends = 4; ///< per request, including rejected ones
+    int maxSends = 4; ///< per request, including sends that the target rejected
 };
 
 // [SECTION] Forwarder
--- a/src/gateway/freshnesstask.cpp
+++ b/src/gateway/freshnesstask.cpp
@@ -16,9 +16,9 @@
 
 /// A proof is renewed at this share of its lifetime, so that several attempts fit in before it expires.
 constexpr double RenewAgeShare = 0.2;
-/// Share of the lifetime between two attempts.
+/// Time between two attempts, as a share of the lifetime.
 constexpr double RetryPeriodShare = 0.06;
-/// Number of random peers asked at once if there is no live watcher or the usual attempts failed.
+/// Number of random peers asked at once if no watcher is live or earlier attempts have not renewed the proof.
 constexpr std::size_t MaxPeersAsked = 3;
 
 } // namespace
--- a/src/gateway/freshnesstask.h
+++ b/src/gateway/freshnesstask.h
@@ -1,8 +1,8 @@
 // Renews this gateway's proof that the declarations it knows are the newest (core/freshness.h).
 //
-// Gateways that watch the store read the declarations' row from it; each other gateway asks one of the watchers. A gateway that gets no answer asks a few other
-// peers, whose proofs may come from any source: so a gateway whose calls only the store rejects still gets proofs. The cost grows linearly with the number
-// of gateways.
+// Gateways that watch the store read the declarations' row from it; each other gateway asks one of the watchers. A gateway that gets no answer also asks
+// a few random peers, whose proofs may come from any watcher. So a gateway whose own calls the store rejects still gets proofs. The cost grows linearly
+// with the number of gateways.
 //
 // Index of sections (search for [SECTION]):
 //   Parts           dependencies and settings
@@ -34,7 +34,7 @@
 
 struct FreshnessSettings {
     std::string declarationsKey; ///< key of the declarations' row
-    Duration proofLifetime; ///< for which a proof is valid
+    Duration proofLifetime; ///< how long a proof is valid
     std::uint64_t seed = 1; ///< of the random choice of peers
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -3,7 +3,7 @@
 //   Store     rows of declarations, targets and gateways
 //   Requests  hooks of the forwarder
 //   Peers     messages to and from other gateways
-//   Pages     HTTP servers for callers, readiness and metrics
+//   Servers   HTTP servers for callers, readiness and metrics
 //   Leaving   planned stops
 //   Settings  reloads
 #include "gateway/gateway.h"
@@ -44,7 +44,7 @@
 constexpr auto LeaveCheckPeriod = Duration::millis(50);
 /// How long before the stop limit the remaining requests are ended, so that the gateway itself cuts them off and logs it.
 constexpr auto StopMargin = Duration::millis(500);
-/// How long the declared traffic counts as current after the loss of the store. Later, a route that it lacks may have been declared meanwhile.
+/// How long the declared traffic counts as current after the loss of the store. After that, a route that it lacks may have been declared in the meantime.
 constexpr auto CurrentAfterStoreLoss = Duration::seconds(2);
 /// Prefill of a prompt takes some tens of milliseconds: older load reports would mislead the choice of the next target.
 constexpr auto DigestPeriod = Duration::millis(200);
@@ -61,13 +61,14 @@
 /// Period of messages on sent prefill, for each receiver: about a hundred a second reach each gateway, however many gateways there are.
 constexpr auto PrefillPeriodPerPeer = Duration::millis(8);
 constexpr auto MaxPrefillPeriod = Duration::millis(200);
-/// Few candidates fail within the seconds that the store may be unreachable, and one is left if two zones are lost.
+/// Four are enough: it is unlikely that all of them fail within the seconds for which the store may be unreachable, and one is left if two zones are lost.
 constexpr std::size_t MaxLeaseCandidates = 4;
 /// The settings file may change without a signal; reading it takes less than a millisecond.
 constexpr auto SettingsPeriod = Duration::seconds(5);
 /// About forty round trips within a region. The kernel retransmits a lost SYN only after a second: trying another target is quicker.
 constexpr auto TargetConnectTimeout = Duration::millis(150);
-/// Cap for counts that peers report. Gateways stop counting once a request is barred; a higher count is an error and must not stay the maximum for ever.
+/// Upper limit for the break counts that peers report. Gateways stop counting once a request is barred, so a higher count is an error; it must not stay the
+/// maximum for ever.
 constexpr std::uint32_t MaxReportedBreaks = 16;
 
 /// Lifetime of a proof, as a share of the time limit for key revocations. The rest covers the error of the estimate of a proof's age.
@@ -567,7 +568,7 @@
     digest->set_sequence(++digests);
     digest->set_traffic_version(traffic ? traffic->version.value() : 0);
     if (loads->isDirect()) {
-        digest->mutable_work(); // sets the field even if there are no rows: no work in flight
+        digest->mutable_work(); // sets the field even without rows: an empty one means that no work is in flight
         writeWork(dispatcher.takeDigest(EntryId(settings.process.id), loop.now()), *digest);
     }
     targets->writeLeaving(*digest);
@@ -595,8 +596,8 @@
     }
 }
 
-/// Announces the prompts sent last. Prompts that arrive together at one target stall its streams, and gateways that don't know of each other's latest
-/// prompts send them to the same target.
+/// Announces the prompts that were sent since the last announcement. Prompts that arrive together at one target stall its streams, and gateways that don't know
+/// of each other's latest prompts send them to the same target.
 auto Gateway::Private::publishPrefillSoon() -> void
 {
     if (prefillTimer.isActive()) {
@@ -666,7 +667,7 @@
     follower->onDigest(id, digest);
 }
 
-// [SECTION] Pages
+// [SECTION] Servers
 
 auto Gateway::Private::buildServers() -> void
 {
@@ -690,7 +691,7 @@
 {
     const auto sinceLeave = loop.now() - leavingSince;
     if (sinceLeave > BalancerNoticeTime) {
-        // Load balancers send no new connections any more. On an idle one, a request could still come when there is no time left for it.
+        // Load balancers open no new connections any more. On an idle connection, a request could still arrive too late to be finished before the stop limit.
         callers->stopListening();
         callers->closeIdle();
     }
@@ -701,7 +702,7 @@
     }
     leaveCheck.cancel();
     // The lease is kept until here: after a release, no gateway loads adapters or models until the next holder has waited a whole lease, and in a
-    // rolling restart that holder would be drained as soon as it has begun.
+    // rolling restart that holder would itself be stopped soon after it has begun to give orders.
     orders->stop();
     cutOff = forwarder->abandonAll();
     log.line("process", "stopped").add("cut-off", cutOff);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -2,7 +2,7 @@
 // follows the operators' declarations and the targets' rows in the deployment's store, and gives runners their orders while it holds the order
 // lease.
 //
-// A gateway keeps all its state in memory. What must survive it is in the store, which a new process reads with a few calls.
+// A gateway keeps its state in memory only. State that must survive the process is in the store; a new process reads it with a few calls.
 #pragma once
 
 #include "gateway/protocol.h"
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -1,4 +1,4 @@
-// Control connections between gateways: messages to one or all of them, and liveness by the messages received.
+// Control connections between gateways: sends messages to one gateway or to all, and detects from received messages which gateways are live.
 //
 // Index of sections (search for [SECTION]):
 //   Hooks          callbacks and settings
@@ -30,7 +30,7 @@
     std::string zone;
     std::uint64_t incarnation = 0;
     Endpoint listen;
-    Duration silentAfter = Duration::millis(1500); ///< without any message, until a peer counts as silent; seven digests
+    Duration silentAfter = Duration::millis(1500); ///< a peer counts as silent after this long without any message; seven digests
 };
 
 // [SECTION] GatewayPeers
--- a/src/gateway/loadexchange.cpp
+++ b/src/gateway/loadexchange.cpp
@@ -33,8 +33,8 @@
     CellLoadSum sum;
     OwnReports ownReports;
     int others = 0; ///< number of registered gateways except this one
-    EntryId lastKeeper; ///< whose sum was last merged
-    std::uint64_t lastSequence = 0; ///< of that sum
+    EntryId lastKeeper; ///< incarnation of the keeper whose sum was last merged
+    std::uint64_t lastSequence = 0; ///< sequence number of the last merged sum
     Timer timer;
 
     Private(LoadExchangeParts exchangeParts, LoadExchangeSettings exchangeSettings)
@@ -85,7 +85,7 @@
 
 // [SECTION] Keeping
 
-/// One gateway in each other zone, which passes the sum on there. Only gateways that have lately reported are chosen.
+/// One gateway in each other zone, which forwards the sum within its zone. Only gateways that have reported within RelayReportTimeout are chosen.
 auto LoadExchange::Private::relays() const -> std::set<std::string>
 {
     std::set<std::string> reporting;
--- a/src/gateway/loadexchange.h
+++ b/src/gateway/loadexchange.h
@@ -1,8 +1,8 @@
 // Exchanges the load that each gateway causes at the targets.
 //
-// Up to some dozens of gateways, each sends its load to every other one, with its digest. Beyond that each reports to one of them, the keeper of the cell's
-// load view (core/cellkeeper.h). The keeper publishes the sum (core/cellload.h): directly in its own availability zone, and through one relay gateway in each
-// other zone.
+// Up to some dozens of gateways, each sends its load to every other one as part of its digest. With more gateways, each reports to a single one, the keeper
+// of the cell's load view (core/cellkeeper.h). The keeper publishes the sum (core/cellload.h): directly in its own availability zone, and through one relay
+// gateway in each other zone.
 //
 // Index of sections (search for [SECTION]):
 //   Parts          dependencies and settings
@@ -57,7 +57,7 @@
 
     // Commands
     auto setMembers(const std::vector<CellMember> &members) -> void; ///< all registered gateways, this one included
-    auto reportNow() -> void; ///< reports to the keeper before the next period: the others should soon know of a request that was sent
+    auto reportNow() -> void; ///< reports to the keeper without waiting for the next period: other gateways should soon know of a request that was sent
     auto onReport(const Wire::GatewayLoad &message) -> void;
     auto onSum(const std::string &from, const Wire::CellLoad &message) -> void;
 
--- a/src/gateway/ordertask.cpp
+++ b/src/gateway/ordertask.cpp
@@ -33,11 +33,11 @@
 constexpr double MaxSettleFactor = 4;
 /// An adapter counts as in use for this long after a request used it: about the duration of a stream of 300 tokens.
 constexpr auto AdapterActiveTime = Duration::millis(2500);
-/// An adapter that was used within this time isn't evicted for a second copy of another one: its next request would have to wait until it is loaded again.
+/// An adapter that was used within this time isn't evicted for a second replica of another one: its next request would have to wait until it is loaded again.
 constexpr auto RecentUseProtection = Duration::seconds(4);
 constexpr auto DemandLogPeriod = Duration::seconds(1);
 constexpr std::size_t MaxLoggedModels = 12;
-/// See input().
+/// How long the input of the copy plan is reused, see input().
 constexpr auto PlanInputLifetime = Duration::millis(100);
 /// Artifacts that become pending within this time are served together; much shorter than the load of an adapter.
 constexpr auto PendingDelay = Duration::millis(1);
@@ -54,7 +54,7 @@
     return text;
 }
 
-/// A pending artifact. Only adapters are served from here; models are planned together.
+/// A pending artifact. Only adapters are loaded from this list; models are loaded by planModels().
 struct AdapterRequest {
     TimePoint at; ///< when it was last reported as missing
     int copies = 1; ///< number of runners that are to hold it
@@ -102,7 +102,7 @@
     std::map<TargetId, CopyMove> moves; ///< in progress
     AdapterUses adapterUses;
     DemandHistory demandHistory;
-    std::map<ServiceName, CopyPlanInput> planInputs; ///< current ones, see input(); they point into `books` and `engines`
+    std::map<ServiceName, CopyPlanInput> planInputs; ///< see input(); they point into `books` and `engines`
     TimePoint planInputsAt;
     Timer pendingTimer;
     Timer tick;
@@ -315,8 +315,9 @@
 
 // [SECTION] Orders
 
-/// The input that both the copy plan and the placement of adapters need. Rebuilt only a few times a second: demand and other gateways' load don't change more
-/// often, and rebuilding it for each request took most of the lease holder's processor time when many requests waited for adapters.
+/// The input that both the copy plan and the placement of adapters need. Rebuilt at most once per PlanInputLifetime, or when a target or its service's engine
+/// declaration changes: demand and other gateways' load don't change more often. If it were rebuilt for each request, this would take most of the lease
+/// holder's processor time when many requests wait for adapters.
 auto OrderTask::Private::input(const ServiceName &service) -> const CopyPlanInput &
 {
     if (now() - planInputsAt >= PlanInputLifetime) {
@@ -343,7 +344,7 @@
     return result;
 }
 
-/// The input with the fields that only the copy plan needs. Adapter requests, which may come hundreds of times a second, don't compute them.
+/// The input with the fields that only the copy plan needs. The placement of adapters, which may run hundreds of times a second, doesn't need them.
 auto OrderTask::Private::planInput(const ServiceName &service) -> const CopyPlanInput &
 {
     input(service);
@@ -481,7 +482,7 @@
     }
 }
 
-/// Ends moves that are done, and those whose runner is gone, leaves or fails: they must no longer count as a replica to come.
+/// Ends moves that are done, and those whose runner is gone, is leaving or fails: the incoming model of such a move must not count as a future replica.
 auto OrderTask::Private::endFinishedMoves() -> void
 {
     std::vector<std::pair<TargetId, const char *>> ended;
@@ -517,7 +518,7 @@
     }
 }
 
-/// Runners that hold the adapter or are loading it.
+/// Number of runners that hold the adapter or are loading it, except those whose replica of its model is draining.
 auto OrderTask::Private::countRunnersWith(const AdapterRequestKey &key) const -> int
 {
     int holders = 0;
@@ -529,7 +530,7 @@
     return holders;
 }
 
-/// True if enough runners hold the adapter, so that the request is complete.
+/// Orders the adapter on a runner if too few hold it. Returns true if enough runners hold it or are loading it, so that the request is complete.
 auto OrderTask::Private::serveAdapterRequest(const AdapterRequestKey &key, AdapterRequest &request) -> bool
 {
     const auto &[service, model, adapter] = key;
--- a/src/gateway/ordertask.h
+++ b/src/gateway/ordertask.h
@@ -1,7 +1,7 @@
 // Orders runners to load and unload models and adapters.
 //
-// Only the gateway that holds the order lease (core/orderlease.h) gives orders. In the others this task tracks what runners hold and keeps the artifacts that
-// requests wait for, so that they can be passed to the next lease holder.
+// Only the gateway that holds the order lease (core/orderlease.h) gives orders. In the other gateways, this task tracks what runners hold and keeps a list of
+// the artifacts that requests wait for, which is sent to the next lease holder.
 //
 // Index of sections (search for [SECTION]):
 //   Hooks       dependencies, callbacks and settings
@@ -41,25 +41,30 @@
     std::function<double(const TargetId &target)> load; ///< share of the target's slots in use
     std::function<bool(const TargetId &target)> isFailing; ///< the target is ejected because requests to it fail
     std::function<void(const std::map<TargetId, CopyMove> &moves)> onMoves; ///< the moves in progress have changed
-    std::function<std::map<CopyKey, int>()> drainingStreams; ///< in flight at draining replicas, summed over all gateways
-    std::function<double(const CopyKey &copy)> estimatedStreams; ///< in flight at any replica, over all gateways, estimated from this gateway's own
+    std::function<std::map<CopyKey, int>()> drainingStreams; ///< streams in flight at each draining replica, summed over all gateways
+    std::function<double(const CopyKey &copy)> estimatedStreams; ///< streams in flight at a replica over all gateways, estimated from this gateway's streams
     /// The models or adapters that a runner holds have changed. The runner's row in the store shows it only later.
     std::function<void(const TargetDescription &target)> onResidency;
-    /// This gateway may give orders from now on. The other gateways must learn it at once: only then do they send the artifacts that requests wait for.
+    /// This gateway may give orders from now on. The other gateways must learn of it at once: only then do they send this one the artifacts that
+    /// requests wait for.
     std::function<void()> onLeaseAcquired;
 };
 
 struct OrderTaskSettings {
     HolderName self; ///< this incarnation of this gateway
     OrderLeaseOptions lease;
-    Duration loadWindow = Duration::seconds(5); ///< over which loads from the weight store are counted
+    Duration loadWindow = Duration::seconds(5); ///< time window in which loads from the weight store are counted
     double loadOvershoot = 1; ///< factor on the declared load rate
     CopyPlanOptions plan;
     Duration planPeriod = Duration::millis(100); ///< between two rounds of model planning; the quickest load takes about four times as long
     Duration answerTimeout = Duration::millis(250); ///< of an order or a report call; a runner answers an order before it carries it out
-    Duration settleTime = Duration::millis(1500); ///< from the last new target until models are planned: at start-up, target rows arrive over several seconds
-    Duration demandKnownAfter = Duration::seconds(3); ///< from the first request until models without any count as unused; six buckets of the forecast
-    Duration pendingLifetime = Duration::millis(1500); ///< of a missing artifact since it was last reported; a request that waits for it is rejected sooner
+    /// Models are planned from this long after the last new target on, but at the latest from MaxSettleFactor times this long after the start: at start-up,
+    /// target rows arrive over several seconds.
+    Duration settleTime = Duration::millis(1500);
+    /// Until this long after the first request, models without requests don't count as unused. Six buckets of the forecast.
+    Duration demandKnownAfter = Duration::seconds(3);
+    /// A missing artifact that isn't reported again for this long is dropped; requests that wait for it are rejected sooner.
+    Duration pendingLifetime = Duration::millis(1500);
 };
 
 // [SECTION] OrderTask
@@ -83,12 +88,12 @@
     auto mayOrder() const -> bool; ///< this gateway may give orders now
     auto lease() const -> const OrderLease &;
 
-    auto pendingArtifacts() const -> std::vector<MissingArtifact>; ///< that requests waited for within `pendingLifetime`
+    auto pendingArtifacts() const -> std::vector<MissingArtifact>; ///< artifacts that were reported as missing within `pendingLifetime`
 
     // Commands
-    auto lease() -> OrderLease &; ///< to apply what other gateways report
-    /// Plans models at the next tick if moves are in progress. To be called when another gateway has reported its streams at draining replicas: the last one
-    /// may have ended.
+    auto lease() -> OrderLease &; ///< for applying reports of other gateways
+    /// Plans models at the next tick if moves are in progress. To be called when another gateway has reported its streams at draining replicas: the last
+    /// of these streams may have ended.
     auto planSoon() -> void;
     auto adoptEngine(const ServiceName &service, const EngineDeclaration &engine) -> void; ///< new or changed declaration of a service's runners
     auto targetSeen(const TargetDescription &target) -> void;
--- a/src/gateway/protocol.h
+++ b/src/gateway/protocol.h
@@ -37,8 +37,8 @@
     AttemptId attempt; ///< the client's id of this attempt; empty: not given
     std::optional<Duration> timeBudget; ///< how long the client waits, counted from when it sent the request; nothing: not given, or malformed
     bool isTimeBudgetMalformed = false;
-    std::string model; ///< empty: the request needs none
-    std::string adapter; ///< of that model; empty: none
+    std::string model; ///< empty: the request needs no model
+    std::string adapter; ///< adapter of that model; empty: none
     int promptTokens = 0;
     int maxOutputTokens = 0;
     std::vector<PromptPart> promptParts; ///< in the prompt's order; the last belongs to this request or its session alone
@@ -51,32 +51,32 @@
     Duration timeBudget; ///< what is left of the client's time budget
     TargetId target; ///< any other target at that address must refuse the request
     std::optional<int> urgency; ///< 0 to 9; 0 is the most urgent
-    std::string lastEventId; ///< replaces the client's; empty: the client's stays
+    std::string lastEventId; ///< replaces the event id in the client's headers; empty: these stay as they are
     bool hasAccounts = false; ///< accounts are in use: headers with a key or an account name from the client aren't forwarded
-    AccountName account; ///< for which the request runs; empty: none
+    AccountName account; ///< the account that the request is charged to; empty: none
 };
 
 // [SECTION] Answers
 
 /// What a target's answer says in its status and headers.
 struct AnswerTraits {
-    AttemptId attempt; ///< the attempt id that the target read; empty: not given
+    AttemptId attempt; ///< the attempt id that the target returned; empty: not given
     bool isSigned = false; ///< has the target's signature
     bool isNotRun = false; ///< the target says that it did not run the request and never will
     bool isMisdirected = false; ///< another target has this address, or the target lacks the model or adapter that the request needs
     bool isEncoded = false; ///< the body has a content encoding, although a plain one was requested
-    TargetId target; ///< that answered; empty: not given
+    TargetId target; ///< the target that answered; empty: not given
 };
 
 // [SECTION] Store
 
 struct StorePage {
     std::vector<StoredRow> rows;
-    bool hasMore = false; ///< reads only: there are rows after the last one
+    bool hasMore = false; ///< for reads: the table has rows after the last one of this page
     RowVersion upTo; ///< the store's newest version as of this answer
 };
 
-/// A conditional change of one row: made only if the row still has the expected version (0: if there is no row).
+/// A conditional change of one row: applied only if the row still has the expected version (0: only if the row doesn't exist).
 struct StoreChange {
     std::string key;
     std::optional<RowVersion> expected; ///< nothing: any version
@@ -104,7 +104,7 @@
     std::function<EncodedCall(StoreTable table, RowVersion after, Duration wait)> watchCall;
     std::function<EncodedCall(StoreTable table, const std::vector<StoreChange> &changes)> changeCall;
     std::function<std::optional<StorePage>(const std::string &body)> decodePage; ///< nothing: unreadable
-    std::function<std::optional<RowVersion>(const std::string &body)> decodeChangeVersion; ///< the version that the written rows have
+    std::function<std::optional<RowVersion>(const std::string &body)> decodeChangeVersion; ///< the new version of the written rows
     std::string trafficKey; ///< key of the row in StoreTable::Declarations that declares routes, services and accounts (core/traffic.h)
 };
 
@@ -114,16 +114,16 @@
     bool isLoad = true; ///< else an unload
     std::string model;
     std::string adapter; ///< empty: the model itself
-    std::uint64_t expectedOrders = 0; ///< orders that the runner has accepted before; it refuses this one if it counts another number
+    std::uint64_t expectedOrders = 0; ///< order count: number of orders accepted before this one; a runner whose count differs refuses the order
     std::string holder; ///< the lease holder that gives the order
-    Fence fence; ///< fencing token of its lease
+    Fence fence; ///< fencing token of the holder's lease
     TargetId target; ///< any other target at that address must refuse the order
 };
 
 enum class OrderVerdict {
     Started, ///< accepted, in progress
     Done, ///< accepted and done, or the runner held the artifact already
-    Busy, ///< another order is in progress, or the number of accepted orders differs
+    Busy, ///< another order is in progress, or the order count differs
     Fenced, ///< a newer lease holder has given orders
     Elsewhere, ///< another target has this address
     Invalid, ///< the order isn't valid for this runner
--- a/src/gateway/registration.cpp
+++ b/src/gateway/registration.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr auto WriteRetryDelay = Duration::millis(500); ///< after a write, until it is made again unless the watch has shown the row
+constexpr auto WriteRetryDelay = Duration::millis(500); ///< the row is written again if the watch hasn't shown it this long after the last write
 
 auto encodeRow(const RegistrationSettings &settings) -> std::string
 {
@@ -84,7 +84,7 @@
     isWriting = true;
     store.change(StoreTable::Gateways, {{settings.id, std::nullopt, encodeRow(settings)}}, [this](const StoreAnswer &answer) {
         log.line("peers", "registered").add("end", toString(answer.outcome));
-        // A successful write shows in the watched table. If it doesn't show by then, the write is made again.
+        // A successful write appears in the watched table. If it hasn't appeared after this delay, the row is written again.
         retryTimer = loop.after(WriteRetryDelay, [this] {
             isWriting = false;
             ensureOwnRow();
--- a/src/gateway/registration.h
+++ b/src/gateway/registration.h
@@ -15,9 +15,9 @@
 struct RegistrationSettings {
     std::string id;
     ZoneName zone;
-    Endpoint peerEndpoint; ///< where it listens for other gateways
+    Endpoint peerEndpoint; ///< address on which this gateway listens for other gateways
     std::uint64_t incarnation = 0;
-    double processorShare = 1; ///< cores that only this gateway uses
+    double processorShare = 1; ///< processor cores of the host that are reserved for this gateway
 };
 
 struct RegistrationHooks {
@@ -30,7 +30,7 @@
     Registration(EventLoop &loop, StoreClient &store, EventLog &log, RegistrationSettings settings, RegistrationHooks hooks);
     ~Registration();
 
-    /// Rows of gateways that were changed or removed. Writes this gateway's own row if it is missing or outdated.
+    /// Applies rows of gateways that were changed or removed. Writes this gateway's own row if it is missing or outdated.
     auto applyRows(const std::vector<StoredRow> &rows) -> void;
 
     struct Private;
--- a/src/gateway/storeclient.cpp
+++ b/src/gateway/storeclient.cpp
@@ -14,7 +14,7 @@
 {
 
 constexpr int FirstClientError = 400;
-/// A watch call may take its whole wait; it times out this much later.
+/// The store may answer a watch call only at the end of the requested wait; the call times out this much later.
 constexpr auto WatchMargin = Duration::seconds(1);
 
 } // namespace
@@ -138,7 +138,7 @@
     if (isReached) {
         lastAnswerAt = loop.now();
     }
-    // Also called when the store is reachable again: rows that it dropped while it was unreachable come back only after that.
+    // Also called when the store is reachable again: rows that it removed because their targets couldn't renew them return only after the store's recovery.
     if ((!isReached || !wasReached) && onUnreachable != nullptr && *onUnreachable) {
         (*onUnreachable)();
     }
@@ -219,7 +219,7 @@
     std::minstd_rand random;
     Timer nextCallTimer;
     std::vector<StoredRow> pageRows; // rows of the pages read so far
-    std::optional<RowVersion> readVersion; // version of the first page of that read
+    std::optional<RowVersion> readVersion; // store version as of the first page of the current read
     RowVersion version;
     Duration pause; // between an answer with changes and the next watch call
     std::uint64_t round = 0; // rises with each start and failure; answers to calls of an earlier round are ignored
--- a/src/gateway/storeclient.h
+++ b/src/gateway/storeclient.h
@@ -55,10 +55,10 @@
     StoreClient(const StoreClient &) = delete;
     auto operator=(const StoreClient &) -> StoreClient & = delete;
 
-    auto calls() const -> std::uint64_t; ///< started so far; the store meters calls
-    auto lastAnswerAt() const -> TimePoint; ///< of any call
+    auto calls() const -> std::uint64_t; ///< number of calls started so far; the store meters calls
+    auto lastAnswerAt() const -> TimePoint; ///< when any call was last answered
 
-    /// A call has failed, or the first one after that has succeeded: known rows may be out of date.
+    /// Called after each failed call, and after the first successful call that follows a failed one: known rows may be out of date.
     std::function<void()> onUnreachable;
 
     auto setServer(const Endpoint &server) -> void;
@@ -86,7 +86,8 @@
 };
 
 struct TableWatchOptions {
-    Duration pollTimeout = Duration::seconds(20); ///< longest wait of one watch call; a call that the store accepted but forgot is noticed only after this
+    /// Longest wait of one watch call. A call that the store has accepted but never answers is noticed only after this time.
+    Duration pollTimeout = Duration::seconds(20);
     Duration probeTimeout = Duration::millis(300); ///< used instead while the store is unreachable, so that its return is noticed soon
     BackoffOptions backoff {.initial = Duration::millis(50), .max = Duration::millis(500)}; ///< after a failed call
 };
--- a/src/gateway/storefollower.cpp
+++ b/src/gateway/storefollower.cpp
@@ -1,9 +1,9 @@
 // Index of sections (search for [SECTION]):
-//   State      tables, and the state of other gateways
-//   Start      where the tables are loaded from at start-up
-//   Watching   starting and stopping this gateway's own watches
-//   Passing    forwarding of rows to other gateways, comparison of checksums
-//   Follower   public interface
+//   State        tables, and the state of other gateways
+//   Start        where the tables are loaded from at start-up
+//   Watching     starting and stopping this gateway's own watches
+//   Forwarding   forwarding of rows to other gateways, comparison of checksums
+//   Follower     public interface
 #include "gateway/storefollower.h"
 
 #include "core/hashing.h"
@@ -51,7 +51,8 @@
     std::unique_ptr<TableWatch> watch; ///< while this gateway watches
     TimePoint requestedAt; ///< when it was last requested from a peer, at start-up
     std::optional<TimePoint> differsSince; ///< since when its checksum differs from the first live watcher's
-    std::vector<std::pair<TimePoint, StoredRow>> unforwarded; ///< changes from the own watch that the first watcher is to forward, with their time of arrival
+    /// Changes from this gateway's watch that the first watcher should forward, with their time of arrival.
+    std::vector<std::pair<TimePoint, StoredRow>> unforwarded;
 };
 
 } // namespace
@@ -70,7 +71,7 @@
     StoreWatchers storeWatchers;
     bool watching = false;
     bool hadLiveWatcher = false; // another gateway was a live watcher at the last advance()
-    bool isStarting = true; // where the tables come from isn't decided, or they haven't arrived
+    bool isStarting = true; // the source of the tables hasn't been chosen, or not all tables have arrived
     bool isLoadingFromPeers = false; // at start-up, tables are requested from peers
     Timer deferredTimer;
     Timer startTimer;
@@ -123,7 +124,7 @@
     auto compareChecksums(const std::string &id, const Watcher &watcher) -> void;
 };
 
-/// The other live watcher that ranks first. It forwards changes, unless this gateway watches and ranks before it.
+/// The other live watcher that ranks first. It forwards changes, unless this gateway itself reaches the store and ranks before it.
 auto StoreFollower::Private::firstLiveWatcher() const -> std::optional<std::string>
 {
     std::optional<std::string> first;
@@ -271,8 +272,8 @@
 }
 
 /// Renews the watches of all other tables when that of the targets has failed. If the store was unreachable while connections stayed open, pending watch calls
-/// are never answered, and those for tables that rarely change would wait for 20 s; callers would be served by old declarations for that long. Targets' rows
-/// change all the time, so their watch fails first.
+/// are never answered, and those for tables that rarely change would wait for 20 s; requests would be handled by outdated declarations for that long. Targets'
+/// rows change all the time, so the watch of the targets fails first.
 auto StoreFollower::Private::renewOtherWatches(std::size_t except) -> void
 {
     for (std::size_t i = 0; i < TableCount; ++i) {
@@ -287,7 +288,7 @@
     auto &table = tables.at(index);
     hooks.onRows(Tables.at(index), changed);
     if (isStarting && !isLoadingFromPeers && index == GatewaysTable) {
-        deferredTimer = loop.after(Duration::micros(1), [this] { chooseSource(); }); // deferred, as it may destroy the watch that is calling this
+        deferredTimer = loop.after(Duration::micros(1), [this] { chooseSource(); }); // deferred: chooseSource() may destroy the watch that is calling this
     }
     if (changed.empty()) {
         return;
@@ -301,7 +302,7 @@
     }
 }
 
-// [SECTION] Passing
+// [SECTION] Forwarding
 
 auto StoreFollower::Private::rowsFrame(std::size_t index, const std::vector<StoredRow> &rows, bool isWhole) const -> Wire::ControlFrame
 {
--- a/src/gateway/targetdirectory.cpp
+++ b/src/gateway/targetdirectory.cpp
@@ -112,7 +112,7 @@
     m_hooks.onSeen(target);
     const auto reported = m_residencies.find(id);
     if (!m_hooks.givesOrders() && reported != m_residencies.end() && reported->second.incarnation == target.incarnation) {
-        m_parts.dispatcher.targetHolds(id, reported->second.models); // newer than the row, as long as another gateway gives orders
+        m_parts.dispatcher.targetHolds(id, reported->second.models); // while another gateway gives orders, its report is newer than the row
     }
     if (target.isLeaving) {
         m_leaving.try_emplace(target.incarnation, m_parts.loop.now());
--- a/src/gateway/targetdirectory.h
+++ b/src/gateway/targetdirectory.h
@@ -34,7 +34,7 @@
 struct TargetDirectoryHooks {
     std::function<void(const TargetDescription &target)> onSeen; ///< new, changed or restarted
     std::function<void(const TargetId &target)> onGone;
-    std::function<bool()> givesOrders; ///< this gateway holds the order lease: its own runner books then say what runners hold
+    std::function<bool()> givesOrders; ///< this gateway holds the order lease: its own runner books then determine what runners hold
 };
 
 // [SECTION] TargetDirectory
@@ -45,14 +45,14 @@
     TargetDirectory(TargetDirectoryParts parts, TargetDirectoryHooks hooks);
 
     // Queries
-    /// Adds targets that began to leave, or left, within the last seconds: other gateways may not have seen it yet.
+    /// Adds the targets that began to leave or were removed within the last seconds: other gateways may not know of it yet.
     auto writeLeaving(Wire::GatewayDigest &digest) const -> void;
 
     // Commands
     auto applyRows(const std::vector<StoredRow> &rows) -> void;
     auto storeUnreachable() -> void; ///< the store is unreachable or has just become reachable again: known rows may be out of date
-    auto reportedLeaving(const TargetIncarnation &target) -> void; ///< another gateway has seen it leave
-    /// Another target answers at its address.
+    auto reportedLeaving(const TargetIncarnation &target) -> void; ///< another gateway reported that the target is leaving
+    /// Another target answers at the address of this one.
     auto misdirected(const TargetId &target) -> void;
     /// The lease holder reported what a runner holds, which is newer than the runner's row. False if the report is about another incarnation.
     auto reportedResidency(const TargetId &target, std::uint64_t bornMillis, const std::vector<ResidentModel> &models) -> bool;
@@ -72,7 +72,7 @@
     TargetDirectoryParts m_parts;
     TargetDirectoryHooks m_hooks;
     TargetView m_view;
-    std::map<TargetIncarnation, TimePoint> m_leaving; ///< since when they are announced as leaving
+    std::map<TargetIncarnation, TimePoint> m_leaving; ///< targets that digests name as leaving, with the time since when
     std::map<TargetId, ReportedResidency> m_residencies;
 };
 
--- a/src/gateway/usageexchange.cpp
+++ b/src/gateway/usageexchange.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/// Least time between two urgent reports, multiplied by the number of gateways that receive them: so a gateway receives
-/// at most 4000 urgent reports a second, however many gateways there are.
+/// The minimum time between two urgent reports is this multiplied by the number of gateways that receive them. So a gateway receives at most 4000 urgent
+/// reports a second, however many gateways there are.
 constexpr auto UrgentPeriodPerPeer = Duration::micros(250);
-/// After this many missed digests a peer counts as silent, and its share of the limits is left to it.
+/// After this many missed digests a peer counts as silent, and an equal share of each limit is reserved for it.
 constexpr double MaxMissedDigests = 3;
 
 } // namespace
--- a/src/gateway/usageexchange.h
+++ b/src/gateway/usageexchange.h
@@ -1,7 +1,7 @@
 // Exchanges the usage of client accounts between gateways (core/sharedusage.h).
 //
 // Reports are part of each digest. A report is urgent if its account is nearly used up or much was charged; it is sent within milliseconds, as otherwise each
-// gateway would admit requests for all that is left of the account's limit.
+// gateway would admit requests up to all that is left of the account's limit.
 //
 // Index of sections (search for [SECTION]):
 //   Parts           dependencies
