--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -33,7 +33,7 @@
 constexpr auto FlushTime = Duration::millis(200); // before the loop stops, so that the last answers are still sent
 constexpr auto LeaveCheckPeriod = Duration::millis(50);
 constexpr auto FloorReadPeriod = Duration::seconds(2); // between tries to read the floor's row, until one succeeds
-constexpr auto SuspectCheckPeriod = Duration::seconds(5);
+constexpr auto SuspectExpiryPeriod = Duration::seconds(5);
 constexpr int ExitCutOff = 1;
 
 } // namespace
@@ -61,7 +61,7 @@
     std::unique_ptr<HttpServer> pages;
     Timer loadPoll;
     Timer floorRead; ///< active until the floor's row has been read once
-    Timer suspectCheck;
+    Timer suspectExpiry;
     Timer leaveCheck;
     TimePoint leavingSince;
     std::uint32_t crashes = 0;
@@ -132,7 +132,7 @@
     requestSettings.streamBuffer = settings.limits.streamBuffer;
     requests = std::make_unique<RequestTasks>(loop, client, requestSettings, requestHooks());
     sessions = std::make_unique<ControlSessions>(loop, settings.timing.report, controlHooks());
-    suspectCheck = loop.every(SuspectCheckPeriod, [this] { suspects.expire(loop.now()); });
+    suspectExpiry = loop.every(SuspectExpiryPeriod, [this] { suspects.expire(loop.now()); });
     PeerOptions peerOptions;
     if (settings.tls.peers) {
         peerOptions.tls = settings.tls.files;
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -58,7 +58,7 @@
 
     auto plan() -> void;
     auto readFloor() -> void;
-    auto onFloorRead(const std::optional<std::vector<TableRow>> &rows) -> void;
+    auto adoptAndPlanFloor(const std::optional<std::vector<TableRow>> &rows) -> void;
     auto planFloorRow() -> void;
     auto isFleetSettled() -> bool;
     auto writeFloor(const FloorRow &row) -> void;
@@ -108,10 +108,10 @@
         return;
     }
     reading = true;
-    hooks.table.read({FloorRowKey}, [this](const std::optional<std::vector<TableRow>> &rows) { onFloorRead(rows); });
+    hooks.table.read({FloorRowKey}, [this](const std::optional<std::vector<TableRow>> &rows) { adoptAndPlanFloor(rows); });
 }
 
-auto Planner::Private::onFloorRead(const std::optional<std::vector<TableRow>> &rows) -> void
+auto Planner::Private::adoptAndPlanFloor(const std::optional<std::vector<TableRow>> &rows) -> void
 {
     reading = false;
     storeReachable = rows.has_value();
--- a/src/entry/requestflows.cpp
+++ b/src/entry/requestflows.cpp
@@ -127,7 +127,7 @@
     auto onCallerLeft(const FlowPtr &flow) -> void;
     auto dropAttempt(const FlowPtr &flow, AttemptResult result) -> void;
     auto log(const Flow &flow, const std::string &what, const std::string &fields) -> void;
-    auto demandOf(const Flow &flow) const -> ArtifactName
+    auto requestedArtifact(const Flow &flow) const -> ArtifactName
     {
         return flow.request.artifacts.empty() ? ArtifactName() : flow.request.artifacts.back();
     }
@@ -149,7 +149,7 @@
     flow->deadline = flow->arrivedAt + request.budget;
     budget.requestSeen(request.service);
     if (!request.artifacts.empty()) {
-        parts.demand.arrived(demandOf(*flow), now());
+        parts.demand.arrived(requestedArtifact(*flow), now());
     }
     const auto verdict = parts.suspects.verdict(request.fingerprint, now());
     if (verdict == Verdict::Quarantined) {
@@ -264,7 +264,7 @@
         return true;
     }
     if (choice.refusal == RoutingRefusal::NoCopy && !flow->request.artifacts.empty()) {
-        hooks.onMissing(demandOf(*flow));
+        hooks.onMissing(requestedArtifact(*flow));
     }
     if (choice.refusal == RoutingRefusal::TooLate || choice.refusal == RoutingRefusal::AllExcluded) {
         log(*flow, "refused", "reason=\"" + choice.reason + "\"");
@@ -447,7 +447,7 @@
     }
     flow->isPaused = false;
     if (end.outcome == AttemptOutcome::Delivered && !flow->request.artifacts.empty()) {
-        parts.demand.served(demandOf(*flow), took);
+        parts.demand.served(requestedArtifact(*flow), took);
     }
     flow->mayHaveRun = flow->mayHaveRun || end.outcome == AttemptOutcome::Unknown;
     recordCrash(*flow, end);
@@ -529,7 +529,7 @@
         return;
     }
     if (problem.outcome == CallerOutcome::NotRun && !flow->request.artifacts.empty()) {
-        parts.demand.missed(demandOf(*flow), now());
+        parts.demand.missed(requestedArtifact(*flow), now());
     }
     const auto body = problemBody(problem, flow->request.id);
     if (flow->exchange->hasBegun()) {
--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -51,7 +51,7 @@
     EventLoop::Task task;
     Duration period; // 0: once
     bool active = false;
-    std::shared_ptr<LoopState> life;
+    std::shared_ptr<LoopState> loopState;
 
     static auto fire(lws_sorted_usec_list_t *entry) -> void;
     auto schedule(Duration delay) -> void
@@ -70,10 +70,10 @@
     }
     // The task may destroy this timer and with it the stored function, so a copy is run.
     const auto task = self->task;
-    const auto life = self->life;
+    const auto loopState = self->loopState;
     auto *context = self->context;
     task();
-    if (life->watched) {
+    if (loopState->watched) {
         // libwebsockets goes on to wait for the next event in the same call. Without this wake-up, runUntil() would check its
         // condition only after that event, up to 30 s later.
         lws_cancel_service(context);
@@ -104,7 +104,7 @@
 
 auto Timer::cancel() -> void
 {
-    if (d && d->active && d->life->alive) {
+    if (d && d->active && d->loopState->alive) {
         lws_sul_cancel(&d->entry);
     }
     d.reset(); // also destroys the task, which may own the timer's owner
@@ -117,7 +117,7 @@
     std::atomic<bool> stopping = false;
     std::mutex mutex; // guards `tasks`, the only state that other threads access
     std::deque<Task> tasks;
-    std::shared_ptr<LoopState> life = std::make_shared<LoopState>();
+    std::shared_ptr<LoopState> loopState = std::make_shared<LoopState>();
 
     auto runTasks() -> void
     {
@@ -178,7 +178,7 @@
 
 EventLoop::~EventLoop()
 {
-    d->life->alive = false;
+    d->loopState->alive = false;
     lws_context_destroy(d->context);
 }
 
@@ -192,14 +192,14 @@
 auto EventLoop::runUntil(const std::function<bool()> &done, Duration limit) -> bool
 {
     bool late = false;
-    const bool outer = std::exchange(d->life->watched, true);
+    const bool outer = std::exchange(d->loopState->watched, true);
     const auto timer = after(limit, [&] { late = true; });
     bool held = done();
     while (!held && !d->stopping && !late) {
         d->step();
         held = done();
     }
-    d->life->watched = outer;
+    d->loopState->watched = outer;
     return held;
 }
 
@@ -227,7 +227,7 @@
     Timer timer;
     timer.d = std::make_unique<Timer::Private>();
     timer.d->context = d->context;
-    timer.d->life = d->life;
+    timer.d->loopState = d->loopState;
     timer.d->task = std::move(task);
     timer.d->schedule(delay > Duration() ? delay : Duration::micros(1));
     return timer;
