--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -3,7 +3,7 @@
 //   Control    messages from entries
 //   Report     hello and load reports to entries
 //   Leaving    planned stops
-//   Pages      metrics and health
+//   HTTP       metrics and health
 #include "agent/agent.h"
 
 #include "wire/suspectsmessage.h"
@@ -30,9 +30,9 @@
 namespace
 {
 
-constexpr auto FlushTime = Duration::millis(200); // before the loop stops, so that the last answers are still sent
+constexpr auto FlushTime = Duration::millis(200); // delay before the loop stops, in which the last answers are sent
 constexpr auto LeaveCheckPeriod = Duration::millis(50);
-constexpr auto FloorReadPeriod = Duration::seconds(2); // between tries to read the floor's row, until one succeeds
+constexpr auto FloorReadPeriod = Duration::seconds(2); // between attempts to read the floor's row, until one succeeds
 constexpr auto SuspectExpiryPeriod = Duration::seconds(5);
 constexpr int ExitCutOff = 1;
 
@@ -279,7 +279,7 @@
     residency->floorRowRead(RowSource::Peer, RowVersion(plan.row_version()), floorRowOf(decoded.value()));
 }
 
-/// Reads the floor's row from the table until one read has succeeded, see FloorPins::isSettled(). After that, entries send newer rows.
+/// Reads the floor's row from the table until a read succeeds, see FloorPins::isSettled(). After that, entries send newer rows.
 auto Agent::Private::readFloor() -> void
 {
     if (residency->isSettled()) {
@@ -352,8 +352,8 @@
         auto *added = report.add_residents();
         added->set_artifact(resident.artifact.text());
         added->set_bytes(resident.bytes.count());
-        // Until the ledger is open, an unload ordered by an earlier agent may still take effect. No copy is reported as pinned until then:
-        // a planner that relied on one might drop the last other copy.
+        // Until the ledger is open, an unload ordered by an earlier agent may still take effect. No replica is reported as pinned until
+        // then: a planner that relied on such a replica might drop the last other one.
         added->set_pinned(ledger->isOpen() && residency->isPinned(resident.artifact));
         added->set_loading(!residency->isUsable(resident.artifact));
     }
@@ -419,7 +419,7 @@
     });
 }
 
-// [SECTION] Pages
+// [SECTION] HTTP
 
 auto Agent::Private::page(const std::shared_ptr<HttpExchange> &exchange) -> void
 {
--- a/src/agent/claimtask.cpp
+++ b/src/agent/claimtask.cpp
@@ -35,7 +35,7 @@
     std::uint64_t writes = 0;
     Timer wake;
     Timer cleanup;
-    std::string cleanupAfter; // last key of the previous scan; empty: the next one starts from the beginning
+    std::string cleanupAfter; // last key of the previous scan; empty: the next scan starts from the beginning
 
     Private(EventLoop &ownerLoop, TableAccess access, ClaimSettings claimSettings)
         : loop(ownerLoop)
@@ -82,7 +82,7 @@
     done(verdict);
 }
 
-/// A caller may leave before its send has reached RunOnce. Its claim, if won, is ended here as not run; otherwise the key would stay open
+/// A caller may disconnect before its send has reached RunOnce. Its claim, if won, is ended here as not run; otherwise the key would stay open
 /// forever, since nobody would run the request.
 auto ClaimTask::Private::forward(const ForwardSend &send) -> void
 {
--- a/src/agent/controlsessions.cpp
+++ b/src/agent/controlsessions.cpp
@@ -14,7 +14,7 @@
 /// Stands for "no residents reported on this stream yet". It differs from every serialised list, also from the empty one, so that a
 /// stream's first report always contains the residents.
 constexpr auto NothingReported = "none";
-/// No more is sent to an entry while this much is unsent: frames would pile up for an entry that doesn't read.
+/// While this many bytes are pending on an entry's stream, no more frames are sent on it: they would pile up for an entry that doesn't read.
 constexpr std::size_t MaxPendingBytes = 1U << 20U;
 
 } // namespace
@@ -89,7 +89,7 @@
 }
 
 /// Residents make up most of a report and rarely change. They are left out if the same list was last sent on this stream: a stream loses
-/// nothing, so the entry has it.
+/// no messages, so the entry already has the list.
 auto ControlSessions::Private::sendReport(const PeerStreamPtr &stream, const Wire::LoadReport &report) -> void
 {
     const auto found = streams.find(stream);
--- a/src/agent/controlsessions.h
+++ b/src/agent/controlsessions.h
@@ -1,7 +1,7 @@
 // The agent's end of the control streams: one for each connected entry.
 //
 // Index of sections (search for [SECTION]):
-//   Hooks      data that entries receive, handlers of their messages
+//   Hooks      data that is sent to entries, handlers of their messages
 //   Sessions   ControlSessions
 #pragma once
 
--- a/src/agent/requesttasks.cpp
+++ b/src/agent/requesttasks.cpp
@@ -19,9 +19,9 @@
 namespace
 {
 
-constexpr std::size_t TailBytes = 64; // at the end of a stream, searched for the end mark
+constexpr std::size_t TailBytes = 64; // bytes at the end of a stream that are searched for the end mark
 constexpr auto EndMark = "data: [DONE]";
-constexpr double MeanSampleWeight = 0.1; // of a new sample in the moving average of service times
+constexpr double MeanSampleWeight = 0.1; // weight of a new sample in the moving average of service times
 
 } // namespace
 
@@ -42,7 +42,7 @@
     TimePoint deadline;
     Timer expiry; // while queued
     std::shared_ptr<HttpCallHandle> call;
-    SendId send; // of its claim
+    SendId send; // identifies this request to its claim, if hasClaim
     bool hasClaim = false;
     bool isPaused = false;
     int runningAtStart = 0;
@@ -450,8 +450,8 @@
     end(task, deliveredEnd());
 }
 
-/// Handles an answer that broke off. The entry gets the end of the request only when it is known whether the engine crashed. Otherwise it
-/// could send a request that crashes engines to the next one as an ordinary request.
+/// Handles an answer that broke off. The entry gets the end of the request only when it is known whether the engine crashed. Otherwise the
+/// entry could send a request that crashes engines to the next engine as an ordinary request.
 auto RequestTasks::Private::onCallBroken(const TaskPtr &task) -> void
 {
     reportRunEnd(task, RunOutcome::Unknown);
@@ -518,7 +518,7 @@
     }
 }
 
-/// The caller has left or given up. A run-once request that has started continues, so that its record states the real outcome.
+/// The caller has disconnected or given up. A run-once request that has started continues, so that its record states the real outcome.
 auto RequestTasks::Private::cancel(const TaskPtr &task) -> void
 {
     switch (task->state) {
--- a/src/agent/requesttasks.h
+++ b/src/agent/requesttasks.h
@@ -29,7 +29,7 @@
 /// Claims for requests that must run once. Without these hooks such requests are refused as not run.
 struct ClaimHooks {
     std::function<SendId(const ClaimKey &key, TimePoint deadline, std::function<void(const ClaimVerdict &verdict)> done)> begin;
-    std::function<void(SendId send)> cancel; ///< the caller left before the verdict
+    std::function<void(SendId send)> cancel; ///< the caller disconnected or gave up before the verdict
     std::function<void(SendId send, RunOutcome end, const RunRecord &record)> runEnded;
 };
 
@@ -51,7 +51,7 @@
     bool isRunner = true;
     std::size_t streamBuffer = 256U << 10U; ///< unsent bytes towards the entry above which reading from the target pauses
     std::size_t maxQueue = 256; ///< requests waiting here; more are refused as not run
-    Duration runOnceTimeout = Duration::seconds(60); ///< least timeout of a run-once call, also if its caller's budget is shorter
+    Duration runOnceTimeout = Duration::seconds(60); ///< minimum timeout of a run-once call, even if the caller's time budget is shorter
 };
 
 // [SECTION] Tasks
@@ -64,7 +64,7 @@
 
     // Queries
     auto running() const -> int; ///< forwarded, and the call hasn't ended
-    auto queued() const -> int; ///< all others: being claimed, waiting, or waiting for the result of a crash check
+    auto queued() const -> int; ///< all other open requests: being claimed, in the queue, or waiting for the result of a crash check
     auto concurrencyLimit() const -> int;
     auto meanServiceTime() const -> Duration;
     auto isInUse(const ArtifactName &artifact) const -> bool; ///< by a request here that hasn't ended
--- a/src/agent/residencytask.cpp
+++ b/src/agent/residencytask.cpp
@@ -44,7 +44,7 @@
     FloorPins pins;
     TimePoint startedAt;
     Timer stepTimer;
-    std::string planner; ///< that sent the surge request in force
+    std::string planner; ///< entry whose planner sent the surge request in force
     std::uint64_t surgeSequence = 0;
     TimePoint surgeRequestedAt;
     std::vector<ArtifactName> surge;
@@ -55,7 +55,7 @@
     bool isStatusPending = false;
     std::vector<CrashCheck> crashChecks;
     Timer statusRetry;
-    TimePoint loadsDelayedUntil; ///< the weight store was throttled and named a time to retry
+    TimePoint loadsDelayedUntil; ///< no loads are ordered before this time, because the weight store throttled one
 
     Private(EventLoop &ownerLoop, EngineClient &engineClient, ResidencySettings taskSettings, ResidencyHooks taskHooks)
         : loop(ownerLoop)
@@ -202,7 +202,7 @@
     }
 }
 
-/// Floor copies first, bases before their adapters, then the surge copies in the planner's order.
+/// Floor replicas first, bases before their adapters, then the surge replicas in the planner's order.
 auto ResidencyTask::Private::wants() const -> std::vector<WantedArtifact>
 {
     std::vector<WantedArtifact> wanted;
--- a/src/agent/residencytask.h
+++ b/src/agent/residencytask.h
@@ -1,4 +1,4 @@
-// Loads and unloads artifacts on a runner as the floor plan and the requested surge copies need it. Owns the memory ledger, which is the
+// Loads and unloads artifacts on a runner as the floor plan and the requested surge replicas need it. Owns the memory ledger, which is the
 // only source of orders to the engine.
 //
 // Index of sections (search for [SECTION]):
@@ -25,8 +25,8 @@
 struct ResidencySettings {
     TargetId target;
     Fence firstFence; ///< above the fences of all earlier agents of this target
-    std::string orderPrefix; ///< of order ids; unique per start
-    Duration stepPeriod = Duration::millis(250); ///< between regular steps; events cause further ones
+    std::string orderPrefix; ///< prefix of order ids; differs for each start of the agent
+    Duration stepPeriod = Duration::millis(250); ///< between regular steps; events cause further steps
     Duration surgeLifetime = Duration::seconds(15); ///< after which a surge request expires if no planner repeats it
 };
 
@@ -57,9 +57,9 @@
     // Commands
     auto adopt(const Declarations &declarations) -> void;
     auto floorRowRead(RowSource source, RowVersion version, const FloorRow &row) -> void;
-    /// Replaces the last request, whichever planner sent it. Of one planner, only a higher sequence than the last is accepted.
+    /// Replaces the last request, whichever planner sent it. If the same planner sent it, only a higher sequence is accepted.
     auto surgeRequested(const std::string &planner, std::uint64_t sequence, std::vector<ArtifactName> artifacts) -> void;
-    /// For a call to the engine that broke: finds out whether the engine has crashed, then calls `done`.
+    /// To be called when a call to the engine broke: finds out whether the engine has crashed, then calls `done`.
     auto checkForCrash(std::function<void(bool hasCrashed)> done) -> void;
 
     struct Private;
--- a/src/engine/engineclient.cpp
+++ b/src/engine/engineclient.cpp
@@ -23,7 +23,7 @@
     if (answer.end != CallEnd::Complete) {
         return {ErrorCode::Unknown, toString(answer.end)};
     }
-    // Any answer shows that the engine is running; only one that can't be reached is reported as Unavailable.
+    // Any answer shows that the engine is running; only an engine that can't be reached is reported as Unavailable.
     return {answer.status == HttpStatus::NotFound ? ErrorCode::NotFound : ErrorCode::Overloaded, "status " + std::to_string(answer.status)};
 }
 
--- a/src/entry/callerrequest.cpp
+++ b/src/entry/callerrequest.cpp
@@ -18,7 +18,7 @@
 
 constexpr auto ServicesPrefix = "/services/";
 constexpr std::size_t MaxKeyLength = 256;
-constexpr std::size_t PrefixChars = 400; // of a prompt; prompts that agree in these count as having a common prefix
+constexpr std::size_t PrefixChars = 400; // prompts whose first characters agree up to this number count as having a common prefix
 constexpr int BadRequest = 400;
 constexpr int NotFound = 404;
 constexpr int MethodNotAllowed = 405;
--- a/src/entry/callerrequest.h
+++ b/src/entry/callerrequest.h
@@ -1,4 +1,5 @@
-// Parses a caller's HTTP request: its service, artifacts, time budget and whether it may run twice, or the problem with it.
+// Parses a caller's HTTP request: its service, artifacts, time budget and whether it may run more than once. An invalid request gives a
+// Problem instead.
 //
 // Index of sections (search for [SECTION]):
 //   Problems   errors as problem details (application/problem+json) with a stable code
@@ -27,7 +28,7 @@
 auto toString(CallerOutcome outcome) -> const char *;
 
 struct Problem {
-    int status = 0; ///< HTTP
+    int status = 0; ///< HTTP status code
     std::string code; ///< stable, e.g. "unknown-model"
     std::string detail; ///< one sentence
     CallerOutcome outcome = CallerOutcome::NotRun;
@@ -47,14 +48,14 @@
     RequestId id;
     ServiceName service;
     ServiceKind kind = ServiceKind::Models;
-    std::vector<ArtifactName> artifacts; ///< that the target must have resident; a base before its adapter
-    std::string method; ///< as sent to the target; the path, headers and body too
+    std::vector<ArtifactName> artifacts; ///< artifacts that the target must have resident; a base precedes its adapter
+    std::string method; ///< method, path, headers and body as they are sent to the target
     std::string path;
     HttpHeaders headers;
     std::string body;
     RequestKey key; ///< Idempotency-Key; empty if none
     bool isIdempotent = true;
-    bool mustRunOnce = false; ///< not idempotent, and has a key: claimed before it is forwarded
+    bool mustRunOnce = false; ///< not idempotent but has a key: its key is claimed before the request is forwarded
     bool wantsStream = false;
     Duration budget;
     Priority priority = Priority::Standard;
@@ -64,7 +65,7 @@
 
 struct CallerDefaults {
     Duration budget = Duration::seconds(30);
-    std::function<ArtifactName(const std::string &model)> versionOf; ///< the version that a model name without a version stands for now; may be null
+    std::function<ArtifactName(const std::string &model)> versionOf; ///< the current version of a model, for requests that name none; may be null
 };
 
 /// Parses a request under /v1/ or /services/. An idempotency key identifies a run only together with the service.
--- a/src/entry/configtask.cpp
+++ b/src/entry/configtask.cpp
@@ -118,7 +118,7 @@
 auto ConfigTask::Private::readLog(Revision wanted, const SetDone &done) -> void
 {
     table.read({configLogKey(wanted)}, [this, wanted, done](const std::optional<std::vector<TableRow>> &rows) {
-        if (!rows || rows->empty()) { // the next poll reads it again
+        if (!rows || rows->empty()) { // the next poll retries the read
             return done(std::nullopt);
         }
         const auto entry = parseConfigLogEntry(rows->front().value);
@@ -217,8 +217,8 @@
 
 auto ConfigTask::Private::answerAccepted(const CommitPtr &commit, Revision accepted) -> void
 {
-    // A change id that was used before stands for the set that was sent with it then, so the set is read from the table. If this call's set
-    // were adopted and differed, this entry would have a revision in force whose contents differ from the table's.
+    // An earlier request with the same change id may have committed a different set, so the committed set is read from the table. Adopting
+    // this request's set could bring a revision into force here whose contents differ from the table's.
     readLog(accepted, [commit, accepted](const std::optional<std::string> &set) {
         ChangeAnswer answer;
         answer.outcome = ChangeOutcome::Accepted;
--- a/src/entry/configtask.h
+++ b/src/entry/configtask.h
@@ -1,4 +1,5 @@
-// The configuration of an entry: commits operators' changes to the table, polls for those of other entries, adopts only higher revisions.
+// Keeps an entry's configuration: commits operators' changes to the table, polls for changes that other entries have committed, and adopts
+// only higher revisions.
 //
 // Index of sections (search for [SECTION]):
 //   Hooks   notifications to the rest of the entry, settings
@@ -42,7 +43,7 @@
     ~ConfigTask();
 
     // Queries
-    auto revision() const -> Revision; ///< in force here
+    auto revision() const -> Revision; ///< in force in this entry
     auto declarations() const -> const Declarations &;
     auto text() const -> const std::string &;
     auto isStoreReachable() const -> bool; ///< the last poll was answered
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -2,7 +2,7 @@
 //   Parts       the tasks and how they are connected
 //   Operators   status, drain, explain
 //   Control     messages from agents and other entries
-//   Pages       callers' requests, metrics and health
+//   HTTP        callers' requests, metrics and health
 //   Leaving     planned stops
 #include "entry/entry.h"
 
@@ -29,7 +29,7 @@
 namespace
 {
 
-constexpr auto FlushTime = Duration::millis(200); // before the loop stops, so that the last answers are still sent
+constexpr auto FlushTime = Duration::millis(200); // delay before the loop stops, in which the last answers are sent
 constexpr auto LeaveCheckPeriod = Duration::millis(50);
 constexpr auto ForecastAhead = Duration::seconds(5);
 constexpr auto HousekeepingPeriod = Duration::millis(500);
@@ -495,7 +495,7 @@
     fleet->sendEntries(frame);
 }
 
-// [SECTION] Pages
+// [SECTION] HTTP
 
 auto Entry::Private::isReady() const -> bool
 {
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,4 +1,4 @@
-// The entry: the process that receives callers' requests and routes them to agents, plans where copies are kept, and serves operators.
+// The entry: the process that receives callers' requests and routes them to agents, plans where replicas are kept, and serves operators.
 //
 // Index of sections (search for [SECTION]):
 //   Entry   start, leave
--- a/src/entry/fleet.cpp
+++ b/src/entry/fleet.cpp
@@ -47,7 +47,7 @@
     Wire::LoadReport report;
     bool hasReport = false;
     TimePoint lastUsableAt; ///< when it was last usable
-    bool drainSent = false; ///< because the host list marks its host as leaving
+    bool drainSent = false; ///< it was ordered to drain, because the host list marks its host as leaving
 };
 
 } // namespace
@@ -182,8 +182,8 @@
     return member && member->state == MemberState::Live && agent.hasReport && agent.report.engine_ready();
 }
 
-/// Tells agents when the platform's host list marks their host as leaving, or no longer does. Agents can't read the list, and a leaving one
-/// must refuse new work from every entry.
+/// Tells agents when the platform's host list marks their host as leaving, or no longer does. Agents can't read the list, and an
+/// agent on a leaving host must refuse new work from every entry.
 auto Fleet::Private::sendDrains() -> void
 {
     for (auto &[id, agent] : knownAgents) {
--- a/src/entry/fleet.h
+++ b/src/entry/fleet.h
@@ -1,4 +1,4 @@
-// What an entry knows of agents and other entries: their membership, connections and last reports. Supplies the router and the planner.
+// Tracks the agents and the other entries: their membership, connections and last reports. Supplies this data to the router and the planner.
 //
 // Index of sections (search for [SECTION]):
 //   Hooks   notifications, settings, FleetMember
@@ -24,9 +24,9 @@
 
 struct FleetHooks {
     std::function<std::vector<Wire::ControlFrame>()> greeting; ///< first frames for a peer that has connected
-    std::function<void()> onCapacity; ///< targets or copies may have appeared
+    std::function<void()> onCapacity; ///< targets or replicas may have become available
     std::function<void(const Wire::Suspects &suspects)> onSuspects;
-    std::function<void(const Wire::ControlFrame &frame)> onEntryFrame; ///< configuration, plan, demand, revisions
+    std::function<void(const Wire::ControlFrame &frame)> onEntryFrame; ///< from another entry: configuration, plan, demand or revision
 };
 
 struct FleetSettings {
@@ -42,9 +42,9 @@
     HostRole role = HostRole::Agent;
     ZoneName zone;
     MemberState state = MemberState::Proposed;
-    Duration silentFor; ///< since it was last seen, or first listed
-    Revision revision; ///< in force there; 0: not reported yet
-    Wire::LoadReport report; ///< agents only: the last one
+    Duration silentFor; ///< time since the last message from this process; if there was none, since it was first listed
+    Revision revision; ///< in force in this process; 0: not reported yet
+    Wire::LoadReport report; ///< agents only: the last report
 };
 
 // [SECTION] Fleet
@@ -59,9 +59,9 @@
     auto members() const -> std::vector<FleetMember>; ///< agents and other entries
     auto runners() const -> std::vector<RunnerState>;
     auto holderReports() const -> std::map<TargetId, HolderReport>;
-    auto ranksFirst(const std::string &subject) const -> bool; ///< whether this entry does, of the live ones, for that subject
+    auto ranksFirst(const std::string &subject) const -> bool; ///< this entry ranks first for the subject among the live entries
     auto isListTrusted() const -> bool; ///< false while the platform's host list is considered wrong
-    auto hasCopy(const ArtifactName &artifact) const -> bool; ///< on a live runner
+    auto hasCopy(const ArtifactName &artifact) const -> bool; ///< a live runner has a replica of it
 
     // Commands
     auto adopt(const Declarations &declarations) -> void; ///< the declarations assign a service to targets whose own settings name none
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -11,9 +11,9 @@
 
 constexpr auto FloorSubject = "floor";
 constexpr auto SurgeSubject = "surge";
-constexpr auto SchedulePlanDelay = Duration::millis(100); // until a plan outside the regular rounds, e.g. for a missing copy
-constexpr auto SettleTime = Duration::seconds(2); // without a change in the number of runners, before the first floor is planned
-constexpr auto SurgeRepeat = Duration::seconds(5); // well below the agents' ResidencySettings::surgeLifetime
+constexpr auto SchedulePlanDelay = Duration::millis(100); // delay of a plan outside the regular rounds, e.g. for a missing replica
+constexpr auto SettleTime = Duration::seconds(2); // time without a change in the number of runners before the first floor is planned
+constexpr auto SurgeRepeat = Duration::seconds(5); // period for repeating an unchanged request; well below the agents' ResidencySettings::surgeLifetime
 constexpr int RoundsPerRead = 3; // rounds between two reads of the floor's row by entries that don't plan it
 
 /// The surge request that a target was last sent.
@@ -173,8 +173,8 @@
     }
 }
 
-/// If the first floor were planned while runners are still connecting, all copies would be placed on the few that are there, and copies that
-/// are well placed aren't moved later. So it waits until the number of runners hasn't changed for SettleTime.
+/// If the first floor were planned while runners are still connecting, all replicas would be placed on the few connected runners, and replicas
+/// that are well placed aren't moved later. So the first floor is planned once the number of runners hasn't changed for SettleTime.
 auto Planner::Private::isFleetSettled() -> bool
 {
     const auto count = hooks.runners().size();
@@ -200,7 +200,7 @@
         if (result.outcome == TransactOutcome::Committed) {
             adoptFloor(result.version, text);
         }
-        // Otherwise the next read shows whether the write took effect.
+        // If the write isn't known to be committed, the next read shows whether it took effect.
     });
 }
 
--- a/src/entry/requestflows.cpp
+++ b/src/entry/requestflows.cpp
@@ -20,9 +20,9 @@
 namespace
 {
 
-constexpr auto RetryWaitingPeriod = Duration::millis(50); // while requests wait
+constexpr auto RetryWaitingPeriod = Duration::millis(50); // between attempts to route the waiting requests
 constexpr auto FallbackRetryAfter = Duration::seconds(1);
-constexpr std::size_t BytesPerToken = 4; // of a request's body; an estimate
+constexpr std::size_t BytesPerToken = 4; // estimated bytes of a request's body for each token
 
 enum class FlowState { Waiting, Trying, Ended };
 
@@ -216,8 +216,8 @@
         if (found == flows.end()) {
             continue;
         }
-        // A copy of the pointer: tryNow() may refuse the request, which erases it from `flows`, and a reference into the map would dangle. That
-        // crashed the entry under load, with all answers in flight.
+        // Copies the pointer: tryNow() may refuse the request, which erases it from `flows`. A reference into the map would then dangle and
+        // crash the entry under load, with all answers in flight.
         const auto flow = found->second;
         if (!tryNow(flow)) {
             again.push_back(flow);
@@ -416,7 +416,7 @@
     }
 }
 
-/// Pauses the target's stream if the caller reads slowly; the agent then pauses the engine's.
+/// Pauses the target's stream if the caller reads slowly; the agent then pauses the engine's stream.
 auto RequestFlows::Private::applyBackpressure(const FlowPtr &flow) -> void
 {
     if (flow->isPaused || flow->exchange->pendingBytes() <= settings.streamBuffer) {
@@ -522,7 +522,7 @@
     finish(flow, CallerOutcome::Delivered, "ok");
 }
 
-/// The final answer when there is no whole answer: problem details, or for a stream that has begun a final error event.
+/// Ends a request for which there is no complete answer: sends problem details, or a final error event if a stream has begun.
 auto RequestFlows::Private::refuse(const FlowPtr &flow, const Problem &problem) -> void
 {
     if (flow->state == FlowState::Ended) {
--- a/src/entry/requestflows.h
+++ b/src/entry/requestflows.h
@@ -36,9 +36,9 @@
 
 struct FlowSettings {
     std::string entry; ///< this entry's id: part of request ids
-    std::uint64_t incarnation = 0; ///< of this start of the process: part of request ids
+    std::uint64_t incarnation = 0; ///< identifies this start of the process: part of request ids
     std::size_t streamBuffer = 256U << 10U; ///< unsent bytes towards a caller above which reading from the target pauses
-    std::size_t maxBufferedAnswer = 8U << 20U; ///< bytes of an answer other than an event stream; larger ones end as "answer-too-large"
+    std::size_t maxBufferedAnswer = 8U << 20U; ///< size limit in bytes of an answer that isn't an event stream; larger answers end as "answer-too-large"
     int maxQueue = 4096;
     Duration requestBudget = Duration::seconds(30);
     HedgeOptions hedge;
@@ -46,9 +46,9 @@
 
 struct FlowHooks {
     std::function<PeerStreamPtr(const TargetId &target)> openStream; ///< null while not connected
-    std::function<ArtifactName(const std::string &model)> versionOf; ///< the version that a model name without a version stands for now
+    std::function<ArtifactName(const std::string &model)> versionOf; ///< the current version of a model, for requests that name none
     std::function<void()> onSuspects; ///< there are new suspects, to be sent to the other processes
-    std::function<void(const ArtifactName &artifact)> onMissing; ///< a request found no copy of it
+    std::function<void(const ArtifactName &artifact)> onMissing; ///< a request found no replica of the artifact
 };
 
 // [SECTION] Flows
@@ -60,11 +60,11 @@
     ~RequestFlows();
 
     auto open() const -> std::size_t; ///< requests not yet answered
-    auto waiting() const -> std::size_t; ///< of the open ones, those in the queue
+    auto waiting() const -> std::size_t; ///< open requests that are in the queue
 
     auto adopt(const Declarations &declarations) -> void;
     auto handle(const std::shared_ptr<HttpExchange> &exchange) -> void; ///< a request under /v1/ or /services/
-    auto retryWaiting() -> void; ///< for when capacity or copies may have appeared
+    auto retryWaiting() -> void; ///< to be called when capacity or replicas may have become available
     auto setLeaving() -> void; ///< from now on, new requests are refused as not run
     /// Ends all open requests as if their time had run out; returns how many there were.
     auto abandonAll() -> int;
--- a/src/entry/systemstatus.h
+++ b/src/entry/systemstatus.h
@@ -15,7 +15,7 @@
     Revision revision;
     bool isLeaving = false;
     int open = 0; ///< requests not yet answered
-    int waiting = 0; ///< of the open ones, those in the queue
+    int waiting = 0; ///< open requests that are in the queue
     RowVersion planVersion;
     bool isStoreReachable = false;
 };
--- a/src/kingcupctl/arguments.cpp
+++ b/src/kingcupctl/arguments.cpp
@@ -80,17 +80,19 @@
 {
     options::options_description visible("Options");
     auto add = visible.add_options();
-    add("server,s", options::value<std::vector<std::string>>()->composing(), "IP:PORT of an entry's operators port; repeat it to name others to try");
+    add("server,s",
+        options::value<std::vector<std::string>>()->composing(),
+        "IP:PORT of an entry's operators port; repeat the option for further entries to try");
     add("json,j", "print JSON instead of tables");
     add("timeout,t", options::value<int>()->default_value(DefaultTimeoutSeconds), "seconds to wait for an answer, and for --wait");
     add("wait,w", "apply: show progress until the revision is in force everywhere");
     add("expect", options::value<std::uint64_t>(), "apply: the revision that the set was made against; default: the newest");
-    add("change-id", options::value<std::string>(), "apply: ask again about a change whose outcome is unknown");
-    add("author", options::value<std::string>(), "apply: noted with the change");
+    add("change-id", options::value<std::string>(), "apply: repeat a change whose outcome is unknown");
+    add("author", options::value<std::string>(), "apply: author that is recorded with the change");
     add("until", options::value<std::uint64_t>(), "watch: end once this revision is in force everywhere");
     add("log",
         options::value<std::vector<std::string>>()->composing(),
-        "explain: a file with log lines, in place of a server; repeat it for those of other hosts");
+        "explain: a log file to read instead of calling a server; repeat the option for the files of other hosts");
     add("undo", "drain: let the target take work again");
     add("certificate", options::value<std::string>(), "PEM file of the operator's certificate");
     add("key", options::value<std::string>(), "PEM file of its private key");
--- a/src/kingcupctl/arguments.h
+++ b/src/kingcupctl/arguments.h
@@ -16,11 +16,11 @@
 enum class ExitCode {
     Ok = 0,
     Differs = 1, ///< diff found differences
-    Usage = 2, ///< the command line is wrong
-    Refused = 3, ///< the input or the change has findings; nothing was changed
+    Usage = 2, ///< the command line is wrong, or a log file can't be read
+    Refused = 3, ///< the input or the change has findings, a drain was refused, or no log line matches; nothing was changed
     Conflict = 4, ///< another revision was accepted first; nothing was changed
-    Unknown = 5, ///< no answer: the change may or may not have been applied
-    Unreachable = 6, ///< no entry answered; nothing was changed
+    Unknown = 5, ///< the change may or may not have been applied, or may not be in force everywhere yet
+    Unreachable = 6, ///< the call failed, e.g. because no entry answered, or the entry couldn't reach the store; `apply` has changed nothing
 };
 
 struct Arguments {
@@ -35,7 +35,7 @@
     bool hasExpected = false;
     std::uint64_t expected = 0; ///< revision that the set to apply is based on, if hasExpected
     std::uint64_t until = 0; ///< watch: end once this revision is in force; 0: never
-    std::vector<std::string> logs; ///< explain: log files, of any number of hosts
+    std::vector<std::string> logs; ///< explain: log files, from any number of hosts
     std::string changeId;
     std::string author;
     Duration timeout;
--- a/src/kingcupctl/changecommands.cpp
+++ b/src/kingcupctl/changecommands.cpp
@@ -105,8 +105,8 @@
 
 auto reportUnknown(const std::string &changeId) -> ExitCode
 {
-    std::cerr << "kingcupctl: unknown: no answer came, the change may or may not be in force\n"
-              << "kingcupctl: ask again with --change-id " << changeId << "\n";
+    std::cerr << "kingcupctl: unknown: the change may or may not have been applied\n"
+              << "kingcupctl: repeat the command with --change-id " << changeId << "\n";
     return ExitCode::Unknown;
 }
 
@@ -137,7 +137,7 @@
         return ExitCode::Conflict;
     case Proto::CHANGE_OUTCOME_UNAVAILABLE:
         if (!result.mayHaveTakenEffect) {
-            std::cerr << "kingcupctl: unreachable: the store could not be asked; nothing was changed\n";
+            std::cerr << "kingcupctl: unreachable: the store could not be reached; nothing was changed\n";
             return ExitCode::Unreachable;
         }
         return reportUnknown(changeId);
--- a/src/kingcupctl/connection.cpp
+++ b/src/kingcupctl/connection.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-// Time limit of an attempt. An entry whose host is down doesn't answer at all, so the next one is tried after this time.
+/// Time limit of an attempt. An entry whose host is down doesn't answer at all, so the next entry is tried after this time.
 constexpr auto AttemptTimeout = std::chrono::seconds(10);
-constexpr int MaxReplyBytes = 64 << 20; ///< bytes
+constexpr int MaxReplyBytes = 64 << 20;
 
 auto credentials(const TlsFiles &files) -> std::shared_ptr<grpc::ChannelCredentials>
 {
@@ -31,7 +31,7 @@
 
 struct Connection::Private {
     std::vector<std::unique_ptr<OperatorStub>> stubs;
-    std::size_t current = 0; ///< index of the entry that is called first: the one that answered last
+    std::size_t current = 0; ///< index of the stub to call first: the server that answered most recently
 };
 
 Connection::Connection(const Arguments &arguments)
--- a/src/kingcupctl/connection.h
+++ b/src/kingcupctl/connection.h
@@ -1,4 +1,4 @@
-// Calls to the entries of the system. If an entry can't be reached, the next one is tried.
+// Calls to the entries of the system. If an entry can't be reached, the next entry is tried.
 #pragma once
 
 #include "arguments.h"
@@ -19,7 +19,7 @@
     explicit Connection(const Arguments &arguments);
     ~Connection();
 
-    /// Calls the first entry that can be reached, starting with the one that answered last. Each attempt has a time limit.
+    /// Calls the first entry that can be reached, starting with the entry that answered most recently. Each attempt has a time limit.
     template<typename Request, typename Reply>
     auto call(grpc::Status (OperatorStub::*method)(grpc::ClientContext *, const Request &, Reply *), const Request &request, Reply &reply) -> grpc::Status
     {
--- a/src/kingcupctl/helpcommands.cpp
+++ b/src/kingcupctl/helpcommands.cpp
@@ -19,11 +19,11 @@
                  "Exit codes:\n"
                  "  0  done\n"
                  "  1  diff found differences\n"
-                 "  2  the command line is wrong\n"
-                 "  3  refused: the input has findings; nothing was changed\n"
+                 "  2  the command line is wrong, or a log file can't be read\n"
+                 "  3  refused: the input has findings, a drain was refused, or no log line matches; nothing was changed\n"
                  "  4  conflict: another revision came first; nothing was changed\n"
-                 "  5  unknown: no answer came; ask again with --change-id\n"
-                 "  6  unreachable: no entry answered; nothing was changed\n";
+                 "  5  unknown: the change may not have been applied, or not everywhere; repeat the command with --change-id\n"
+                 "  6  unreachable: the call failed, or the entry couldn't reach the store; apply has changed nothing\n";
     return ExitCode::Ok;
 }
 
--- a/src/kingcupctl/logcommands.cpp
+++ b/src/kingcupctl/logcommands.cpp
@@ -42,7 +42,7 @@
         return ExitCode::Usage;
     }
     if (!selection.isFound()) {
-        std::cerr << "kingcupctl: no line is about " << id << "; ids stand in lines as id=ID\n";
+        std::cerr << "kingcupctl: no line is about " << id << "; log lines state ids as id=ID\n";
         return ExitCode::Refused;
     }
     TextTable table({"TIME", "HOST", "", "LINE"});
--- a/src/kingcupd/main.cpp
+++ b/src/kingcupd/main.cpp
@@ -109,7 +109,7 @@
 
 auto main(int argc, char **argv) -> int
 {
-    Options::options_description description("kingcupd: serves callers (role entry) or a target (role agent)");
+    Options::options_description description("kingcupd: serves callers (roles entry and gateway) or a target (role agent)");
     auto add = description.add_options();
     add("help,h", "show this");
     add("settings,s", Options::value<std::string>(), "the settings file (INI)");
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -113,7 +113,7 @@
     NotSent, ///< not connected, or not in time: the server can't have received the request
     Broken, ///< the request was sent in part or whole, the answer is missing or incomplete: effect unknown
     Timeout, ///< as Broken, because the timeout expired
-    Cancelled, ///< by cancel()
+    Cancelled, ///< by cancel(), or because the client was destroyed
 };
 auto toString(CallEnd end) -> const char *;
 
--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -19,7 +19,7 @@
 }
 
 /// Whether a header name holds only the characters that RFC 9110 allows. http-parser accepts some bytes at which other parsers end a
-/// name; forwarded, they could hide a header from one side.
+/// name; if these were forwarded, the two sides could see different headers.
 auto isToken(std::string_view name) -> bool
 {
     constexpr std::string_view Marks = "!#$%&'*+-.^_`|~";
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -25,8 +25,8 @@
 namespace
 {
 
-/// libwebsockets keeps this pointer and reads the name at every request, so the text must live as long as the process: a destroyed string
-/// would be read after its end, which crashes the process now and then.
+/// libwebsockets keeps this pointer and reads the name at every request, so the text must live as long as the process: reading
+/// a destroyed string would crash the process now and then.
 constexpr auto VhostName = "http-server";
 constexpr std::size_t MaxAnswerHeaderBytes = 8192;
 constexpr std::size_t MaxWriteBytes = 32768;
@@ -377,8 +377,8 @@
     exchange->d->wsi = wsi;
     exchanges[wsi] = exchange;
     if (knownHeader(wsi, WSI_TOKEN_HTTP).rfind("HTTP/1.", 0) != 0) {
-        // libwebsockets ends the request line at an encoded line end, which leaves a call that the caller didn't mean. It is recognised
-        // by the missing HTTP version, which is cut off as well.
+        // libwebsockets ends the request line at a percent-encoded line end, so the parsed request differs from the one that the caller sent.
+        // The HTTP version is cut off as well; its absence identifies such a request.
         refuse(*exchange, HttpStatus::BadRequest, "bad-request-line");
         return 0;
     }
--- a/src/net/polled.cpp
+++ b/src/net/polled.cpp
@@ -79,7 +79,7 @@
     m_wsi = lws_adopt_descriptor_vhost(vhostOf(loop), LWS_ADOPT_RAW_FILE_DESC, fd, ProtocolName, nullptr);
     if (m_wsi == nullptr) {
         // libwebsockets has closed the descriptor.
-        LOG(WARNING) << "net: the event loop can poll no further descriptor";
+        LOG(WARNING) << "net: the event loop has no capacity for another descriptor";
         return false;
     }
     m_descriptor = descriptor;
--- a/src/net/tcpstream.cpp
+++ b/src/net/tcpstream.cpp
@@ -43,8 +43,8 @@
     setsockopt(descriptor, level, option, &value, sizeof(value));
 }
 
-/// Sets timeouts and keep-alive probes. A host that loses power or its network sends no reset: without them its connections would look
-/// intact for ever.
+/// Sets timeouts and keep-alive probes. A host that loses power or its network sends no reset: without timeouts and probes, its
+/// connections would look intact for ever.
 auto applyOptions(int descriptor, const TcpOptions &options) -> void
 {
     constexpr std::int64_t MillisPerSecond = 1000;
--- a/src/operator/operatorapi.h
+++ b/src/operator/operatorapi.h
@@ -1,5 +1,5 @@
-// Interface between an entry and its operators' module, in core types. It doesn't use gRPC, so that entries and agents are
-// built without gRPC; only the module links it.
+// Interface between an entry and the operators' module, a shared library with the gRPC server for operators that the entry loads at run time.
+// The interface uses core types and no gRPC, so that entries and agents are built without gRPC; only the module links it.
 //
 // The module serves gRPC on its own threads. It calls the hooks on the entry's event loop only (through `post`), and receives
 // their answers there.
@@ -45,7 +45,7 @@
 
 struct ChangeAnswer {
     ChangeOutcome outcome = ChangeOutcome::Unknown;
-    Revision revision; ///< Accepted: of the new set; Conflict: the one that was accepted instead; otherwise the newest known
+    Revision revision; ///< Accepted: that of the new set; Conflict: the revision that was accepted instead; otherwise the newest known revision
     Findings findings;
     std::string message; ///< one sentence, may be empty
 };
--- a/src/operator/operatorserver.cpp
+++ b/src/operator/operatorserver.cpp
@@ -1,4 +1,4 @@
-// The operators' gRPC service: rejects requests with unknown fields, calls the entry's hooks and sends the replies.
+// The operators' gRPC service: rejects unary requests with unknown fields, calls the entry's hooks and sends the replies.
 #include "operator/operatorapi.h"
 #include "operator/operatorcalls.h"
 #include "operator/operatorcodec.h"
--- a/src/platform/objectclient.h
+++ b/src/platform/objectclient.h
@@ -15,7 +15,7 @@
 struct PutCondition {
     enum class Kind { None, Absent, Matches };
     Kind kind = Kind::None;
-    std::string etag; ///< Matches: of the object to replace
+    std::string etag; ///< Matches: the ETag that the object to replace must have
 };
 
 struct StoredObject {
--- a/src/settings/daemonsettings.h
+++ b/src/settings/daemonsettings.h
@@ -65,13 +65,13 @@
     int loadWindowSeconds = 0; ///< window over which loads from the weight store are counted
     double loadOvershoot = 0; ///< factor on the loads that the weight store allows in that window
     double processorShare = 0; ///< cores of the host that are reserved for this process
-    Duration revocationLimit; ///< time within which every gateway rejects a revoked key, even one cut off from the store; 0: no limit for those
+    Duration revocationLimit; ///< time within which every gateway rejects a revoked key, even a gateway cut off from the store; 0: no limit for such a gateway
 
     auto operator==(const GatewaySettings &) const -> bool = default;
 };
 
 struct TargetSettings {
-    Endpoint engine; ///< of the runner's engine or the plain service
+    Endpoint engine; ///< address of the runner's engine or of the plain service
     TargetKind kind {};
     ServiceName service; ///< service of the target; empty: as declared
 };
@@ -89,7 +89,7 @@
     int maxQueue = 0; ///< requests waiting in one entry
     std::size_t streamBuffer = 0; ///< bytes buffered for one stream before backpressure is applied to its source
     Duration requestBudget; ///< time budget of a request if neither the caller nor the service sets one
-    Duration headerTimeout; ///< a caller that takes longer to send its request is disconnected
+    Duration headerTimeout; ///< entries: time between two pieces of a request after which its caller is disconnected
     int maxDecisions = 0; ///< recent decisions kept for `kingcupctl explain`
 };
 
@@ -104,11 +104,11 @@
 };
 
 struct TimingSettings {
-    Duration heartbeat; ///< interval of pings on a control stream
+    Duration heartbeat; ///< interval of liveness checks on the control streams; a peer that has been silent for 1.5 intervals is pinged
     Duration suspectAfter; ///< time without messages on a control stream after which the remote side gets no new work
     Duration report; ///< agents: interval of load reports
     Duration hostsPoll; ///< interval of reads of the host list
-    Duration configPoll; ///< entries: interval of reads of the change log
+    Duration configPoll; ///< entries: interval of reads of the change log's head row
     Duration planPeriod; ///< entries: interval of placement decisions
     Duration drainLimit; ///< after which a planned stop ends the remaining requests and logs them
 };
--- a/src/wire/connection.cpp
+++ b/src/wire/connection.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Reserved in the write buffer for what TLS adds: at most 256 bytes for each record of 16 KB.
+/// Space in the write buffer for the overhead of TLS: at most 256 bytes for each record, which holds up to 16 KiB of plaintext.
 constexpr std::size_t TlsOverheadBytes = 2048;
 
 } // namespace
@@ -34,8 +34,8 @@
     if (tls != nullptr) {
         m_tls = std::make_unique<TlsChannel>(tls, role == SessionRole::Client ? TlsChannel::Side::Client : TlsChannel::Side::Server);
     }
-    // A frozen process, or one that speaks another protocol and waits, accepts connections too. Without a time limit for the
-    // handshake, a client would wait for it and a server would keep the connection for ever.
+    // A paused process, or one that speaks another protocol, may also accept a connection and then send nothing. Without a time limit for
+    // the handshake, a client would wait for such a process for ever, and a server would keep such a connection for ever.
     m_deadline = loop.after(options.connectTimeout, [this] { drop("the remote side did not complete the handshake in time"); });
 }
 
--- a/src/wire/peer.h
+++ b/src/wire/peer.h
@@ -57,7 +57,7 @@
     std::function<void(std::string_view message)> onMessage; ///< a complete serialised message
     std::function<void(StreamEnd end)> onEnd; ///< exactly once, when both sides have finished or the stream broke
     std::function<void()> onDrained; ///< pendingBytes() has dropped to 0
-    std::function<void()> onRemoteFinished; ///< the remote side sends no more messages; this side may go on
+    std::function<void()> onRemoteFinished; ///< the remote side sends no more messages; this side may still send
 };
 
 using PeerStreamPtr = std::shared_ptr<PeerStream>;
--- a/src/wire/peerlinks.cpp
+++ b/src/wire/peerlinks.cpp
@@ -107,8 +107,8 @@
     }
 }
 
-/// Pings the peers that have sent nothing for longer than `silence`. Any message shows that a peer is alive, and pinging all of them
-/// doubled the wake-ups of an idle gateway.
+/// Pings the peers that have sent nothing for longer than `silence`. Any message shows that a peer is alive, and pinging all peers
+/// would double the wake-ups of an idle gateway.
 auto PeerLinks::Private::pingSilent(Duration silence) -> void
 {
     for (const auto &[id, link] : links) {
--- a/src/wire/tlschannel.cpp
+++ b/src/wire/tlschannel.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr std::size_t ReadBytes = 16U << 10U; // the maximum size of a TLS record
+constexpr std::size_t ReadBytes = 16U << 10U; // the maximum plaintext size of a TLS record
 
 auto describeError() -> std::string
 {
